--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -52,8 +52,8 @@
 use std::time::Duration;
 use telemetry::Telemetry;
 use tokio::sync::Notify;
-use versions::sessions::Sessions;
-use versions::watch::VersionWatch;
+use versions::monitor::VersionMonitor;
+use versions::session_versions::SessionVersions;
 
 /// How long after the signal to stop streams are still taken. The balancer sends new
 /// connections for two seconds yet, and a refusal costs the caller a way to another box;
@@ -99,11 +99,11 @@
     /// The budgets of repeats by service; see [`Gateway::with_retries`].
     retries: RefCell<HashMap<String, RetryWindow>>,
     /// The versions of sessions.
-    pub sessions: RefCell<Sessions>,
+    pub sessions: RefCell<SessionVersions>,
     /// When other boxes were heard of.
     pub heard: RefCell<Heard>,
     /// What was seen of versions under roll-out.
-    pub versions: RefCell<VersionWatch>,
+    pub versions: RefCell<VersionMonitor>,
     /// How fast engines read prompts.
     pub reading: ReadingRates,
     /// What the other boxes have under way.
@@ -132,8 +132,8 @@
     ) -> Rc<Self> {
         let life = format!("{}.{}", settings.name, now.wall.0);
         Rc::new(Self {
-            sessions: RefCell::new(Sessions::new(settings.bounds.session)),
-            versions: RefCell::new(VersionWatch::new(&life)),
+            sessions: RefCell::new(SessionVersions::new(settings.bounds.session)),
+            versions: RefCell::new(VersionMonitor::new(&life)),
             settings: RefCell::new(Rc::new(settings)),
             headers,
             knowledge: RefCell::default(),
--- a/src/gateway/admit/job.rs
+++ b/src/gateway/admit/job.rs
@@ -24,7 +24,7 @@
 use crate::gateway::place::keepers::Spread;
 use crate::gateway::place::models::Expected;
 use crate::gateway::place::reading;
-use crate::gateway::versions::tally::Timed;
+use crate::gateway::versions::local_statistics::ResponseTimer;
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -77,7 +77,7 @@
     /// Whether it is on trial for the crashes that it was at.
     pub trial: Cell<Trial>,
     /// A plain answer under way that is timed.
-    pub timed: RefCell<Option<Timed>>,
+    pub timed: RefCell<Option<ResponseTimer>>,
 }
 
 /// The trial of a request that was at several crashes of upstreams.
@@ -197,10 +197,10 @@
         };
         gw.long_reads.note(&gw.life, upstream, limits.reading);
         let out = self.outgoing(gw, &choice, plan, now);
-        let timed = gw.time_try(self, &choice, now);
+        let timed = gw.start_response_timer(self, &choice, now);
         let tried = try_upstream(&gw.connections, &gw.headers, upstream, out, limits).await;
         match self.route.kind.stream_gap() {
-            Some(_) => gw.head_came(&tried, timed, Now::read()),
+            Some(_) => gw.record_head(&tried, timed, Now::read()),
             None => *self.timed.borrow_mut() = timed,
         }
         self.record(gw, &choice, &tried, plan);
--- a/src/gateway/answer/plain.rs
+++ b/src/gateway/answer/plain.rs
@@ -91,13 +91,13 @@
     match whole.as_ref().map(|whole| whole.status) {
         Some(status) if status < SERVER_ERRORS => {
             if let Some(timed) = job.timed.take() {
-                timed.came(now);
+                timed.record_completion(now);
             }
             answer.finish(&gw.connections, now);
         }
         Some(_) => {
             if let Some(timed) = job.timed.take() {
-                timed.failed();
+                timed.record_failure();
             }
             answer.upstream().failed(now);
         }
--- a/src/gateway/answer/relay.rs
+++ b/src/gateway/answer/relay.rs
@@ -12,7 +12,7 @@
 use crate::gateway::attempt::retries::Repeat;
 use crate::gateway::attempt::upstream::Upstream;
 use crate::gateway::telemetry::StreamSummary;
-use crate::gateway::versions::tally::Timed;
+use crate::gateway::versions::local_statistics::ResponseTimer;
 use bytes::Bytes;
 use std::fmt;
 use std::rc::Rc;
@@ -50,7 +50,7 @@
     longest_pause: Duration,
     resumed: u32,
     /// The pace of the answer until it is known, or cannot be told any more.
-    timed: Option<Timed>,
+    timed: Option<ResponseTimer>,
 }
 
 impl fmt::Debug for Relay {
@@ -97,8 +97,8 @@
     ) -> Self {
         let now = Now::read();
         answer.has_read();
-        gw.first_event(job, &answer, model.as_deref().unwrap_or_default(), now);
-        let timed = gw.time_events(job, answer.upstream(), PACED_EVENTS - 1, now);
+        gw.record_first_event(job, &answer, model.as_deref().unwrap_or_default(), now);
+        let timed = gw.start_event_timer(job, answer.upstream(), PACED_EVENTS - 1, now);
         let asked_after = job.headers.get(gw.headers.last_event_id.as_str());
         let last_id = asked_after
             .and_then(|value| value.to_str().ok())
@@ -218,7 +218,7 @@
         let gaps = u32::try_from(self.events)
             .unwrap_or(u32::MAX)
             .saturating_sub(1);
-        timed.took((took / gaps).as_secs_f64());
+        timed.record_duration((took / gaps).as_secs_f64());
     }
 
     fn finish(&mut self) {
--- a/src/gateway/control/follow.rs
+++ b/src/gateway/control/follow.rs
@@ -111,7 +111,7 @@
         gw.telemetry.faulty_upstreams(knowledge.faulty_count());
         drop(knowledge);
         gw.connections.close_stale(now);
-        gw.sessions.borrow_mut().forget(now);
+        gw.sessions.borrow_mut().remove_expired(now);
     }
 }
 
--- a/src/gateway/control/leading.rs
+++ b/src/gateway/control/leading.rs
@@ -9,7 +9,7 @@
 use super::store::{ControlStore, RecordWritten, RolloutOrder, Update};
 use crate::clock::Now;
 use crate::gateway::Gateway;
-use crate::gateway::versions::rollout::{Progress, is_overdue, next_record};
+use crate::gateway::versions::rollout::{RolloutProgress, is_record_overdue, next_record};
 use crate::name::VersionName;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -60,7 +60,7 @@
     let known = standing.known.as_ref();
     let is_own = known.is_some_and(|known| Some(known.revision) == own);
     let record = known.map(|known| &known.record);
-    hears_from_store && (is_own || is_overdue(&standing.order, record, standing.elapsed))
+    hears_from_store && (is_own || is_record_overdue(&standing.order, record, standing.elapsed))
 }
 
 fn services_under_rollout(gw: &Gateway) -> Vec<String> {
@@ -99,15 +99,15 @@
                 permille = next.permille,
                 elapsed_ms = next.elapsed_ms,
                 unseen_ms = next.unseen_ms,
-                sent_new = progress.verdict.sent.new,
-                sent_all = progress.verdict.sent.all,
-                answers = progress.verdict.judgement.answers,
-                suspects = progress.verdict.judgement.suspects,
-                under_way = progress.verdict.judgement.open,
-                against = progress.verdict.judgement.against,
-                odds = progress.verdict.judgement.all.to_string().as_str(),
-                odds_at_stage = progress.verdict.judgement.since.to_string().as_str(),
-                condemned = progress.condemned;
+                sent_new = progress.verdict.requests.new_version,
+                sent_all = progress.verdict.requests.all,
+                answers = progress.verdict.latency.responses,
+                suspects = progress.verdict.latency.possibly_bad,
+                under_way = progress.verdict.latency.in_flight,
+                against = progress.verdict.latency.max_cusum,
+                odds = progress.verdict.latency.all_windows.to_string().as_str(),
+                odds_at_stage = progress.verdict.latency.current_stage.to_string().as_str(),
+                condemned = progress.is_rejected;
                 "roll-out taken on: {:?}", next.state
             );
             let update = Update::RolloutStage(next, revision);
@@ -126,16 +126,16 @@
     }
 }
 
-fn progress_of(gw: &Gateway, standing: &Standing, now: Now) -> Progress {
+fn progress_of(gw: &Gateway, standing: &Standing, now: Now) -> RolloutProgress {
     let order = &standing.order;
     let knowledge = gw.knowledge.borrow();
     let rollout = knowledge.rollout(&order.service);
-    let verdict = rollout.and_then(|rollout| gw.judge_version(rollout, true, now));
+    let verdict = rollout.and_then(|rollout| gw.evaluate_rollout(rollout, true, now));
     let verdict = verdict.unwrap_or_default();
-    Progress {
+    RolloutProgress {
         elapsed: standing.elapsed,
-        unseen: standing.unseen,
-        condemned: gw.is_condemned(order.revision),
+        unobserved: standing.unseen,
+        is_rejected: gw.is_version_rejected(order.revision),
         verdict,
         bound: gw.settings().bounds.exposure,
     }
--- a/src/gateway/control/store.rs
+++ b/src/gateway/control/store.rs
@@ -4,7 +4,7 @@
 //! has to last goes through it. See `docs/design/platform.md`.
 
 use crate::gateway::admit::routes::RouteTable;
-use crate::gateway::versions::seen::Seen;
+use crate::gateway::versions::stored_evidence::StoredEvidence;
 use crate::store::StoreResult;
 use futures::future::LocalBoxFuture;
 use serde::{Deserialize, Serialize};
@@ -185,7 +185,7 @@
     pub unseen_ms: u64,
     /// What the answers of both versions have said so far.
     #[serde(default)]
-    pub seen: Box<Seen>,
+    pub seen: Box<StoredEvidence>,
     /// Versions that earlier roll-outs of the service found bad.
     pub rejected: Vec<String>,
 }
--- a/src/gateway/peers/messages.rs
+++ b/src/gateway/peers/messages.rs
@@ -29,7 +29,7 @@
 use crate::gateway::control::rollout::Rollout;
 use crate::gateway::control::store::{ControlStore, RolloutOrder};
 use crate::gateway::place::loads::{BoxLoad, LongRead, interval};
-use crate::gateway::versions::observed::Report;
+use crate::gateway::versions::statistics::StatisticsReport;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 enum PeerMessage {
     /// The sender's own counts of the versions under one roll-out.
-    Counts(Report),
+    Counts(StatisticsReport),
     /// The sender found the target of this order bad; the number is the order's revision.
     FoundBad(u64),
     /// So many milliseconds ago this order was given, as far as the sender knows.
@@ -135,12 +135,12 @@
 ) {
     let now = Now::read();
     match message {
-        PeerMessage::Counts(report) => gw.versions.borrow_mut().take(report),
+        PeerMessage::Counts(report) => gw.versions.borrow_mut().accept_report(report),
         PeerMessage::RolloutTime(order, elapsed_ms) => {
             let elapsed = Duration::from_millis(elapsed_ms);
             gw.knowledge.borrow_mut().hear_elapsed(order, elapsed, now);
         }
-        PeerMessage::FoundBad(order) => gw.take_finding(order, &from.to_string()),
+        PeerMessage::FoundBad(order) => gw.accept_peer_rejection(order, &from.to_string()),
         PeerMessage::Load(load) => gw.loads.borrow_mut().take(load, now),
         PeerMessage::LongReads(reads) => {
             let knowledge = gw.knowledge.borrow();
@@ -152,7 +152,9 @@
         PeerMessage::Suspects(news) => gw.quarantine.take(news, now),
         PeerMessage::Leaving(hashes) => gw.take_leaving(&hashes, now),
         PeerMessage::OldSessions(order, sessions) => {
-            gw.sessions.borrow_mut().keep_old(order, &sessions);
+            gw.sessions
+                .borrow_mut()
+                .keep_on_old_version(order, &sessions);
         }
         PeerMessage::Question(question) => {
             let told = gw.hubs.answer(gw, question, from, now);
@@ -203,7 +205,7 @@
 async fn report_versions(gw: &Gateway, socket: &UdpSocket) {
     loop {
         sleep(REPORT_INTERVAL).await;
-        gw.judge_versions(Now::read());
+        gw.evaluate_rollouts(Now::read());
         let reports = gw.versions.borrow_mut().reports(Now::read());
         for report in reports {
             let told = told_of_versions(gw, Now::read());
@@ -233,7 +235,7 @@
 /// leading box has written it down and everybody knows it by the store.
 fn found_here(gw: &Gateway) -> Vec<u64> {
     let knowledge = gw.knowledge.borrow();
-    let mut found = gw.versions.borrow().found_here();
+    let mut found = gw.versions.borrow().local_rejections();
     found.retain(|revision| {
         let mut orders = knowledge.rollouts_under_way().map(|(order, _)| order);
         orders.any(|order| order.revision == *revision)
@@ -288,7 +290,7 @@
         if let Some((order, seen)) = &rollout.order
             && now.monotonic.saturating_sub(*seen) < order.duration / 2
         {
-            let old = sessions.old_ones(order, now);
+            let old = sessions.sessions_to_keep(order, now);
             found.push((order.revision, old));
         }
     }
--- a/src/gateway/place/candidates.rs
+++ b/src/gateway/place/candidates.rs
@@ -103,10 +103,10 @@
             .map_or(0, |(order, _)| order.revision);
         let query = VersionQuery {
             session,
-            pinned: sessions.version(session, now),
-            stays_old: sessions.stays_old(session, order_revision),
-            condemned: self.is_condemned(order_revision),
-            is_newcomer: self.is_newcomer(now),
+            session_version: sessions.current_version(session, now),
+            stays_on_old_version: sessions.stays_on_old_version(session, order_revision),
+            is_rejected: self.is_version_rejected(order_revision),
+            has_just_started: self.has_just_started(now),
         };
         let rule = version_rule(rollout, query, now);
         let allowed: Vec<Rc<Upstream>> = open
@@ -117,12 +117,12 @@
         match rule {
             VersionRule::Prefer(_) if allowed.is_empty() => {
                 open.retain(|upstream| {
-                    let rejected = VersionRule::AnyBut(rejected_versions(rollout));
+                    let rejected = VersionRule::AnyExcept(rejected_versions(rollout));
                     upstream.with_listed(|listed| rejected.allows(&listed.version))
                 });
                 open
             }
-            VersionRule::Prefer(_) | VersionRule::AnyBut(_) => allowed,
+            VersionRule::Prefer(_) | VersionRule::AnyExcept(_) => allowed,
         }
     }
 }
--- a/src/gateway/versions.rs
+++ b/src/gateway/versions.rs
@@ -1,12 +1,12 @@
 //! Roll-outs of versions, and which version serves which session.
 
-pub mod counts;
 pub mod exposure;
-pub mod judge;
-pub mod observed;
+pub mod histogram;
+pub mod latency_evidence;
+pub mod local_statistics;
+pub mod monitor;
+pub mod recording;
 pub mod rollout;
-pub mod seen;
-pub mod sessions;
-pub mod tally;
-pub mod times;
-pub mod watch;
+pub mod session_versions;
+pub mod statistics;
+pub mod stored_evidence;
--- a/src/gateway/versions/counts.rs
+++ b/src/gateway/versions/recording.rs
@@ -1,10 +1,10 @@
 //! Counts each request and answer of a service under roll-out, and judges its target.
 
-use super::exposure::Span;
-use super::observed::{Kind, Measure, Trial};
-use super::rollout::{MOVING, stage_since};
-use super::tally::{Timed, stretch_at, trial};
-use super::watch::{Finding, Question, Verdict};
+use super::exposure::RolloutTime;
+use super::local_statistics::{ResponseTimer, sampled_request, window_at};
+use super::monitor::{RejectionReason, RolloutStatus, Verdict};
+use super::rollout::{MIGRATION_STAGE_PERMILLE, stage_start};
+use super::statistics::{LatencyMetric, ResponseKind, SampledRequest};
 use crate::clock::Now;
 use crate::gateway::Gateway;
 use crate::gateway::admit::job::Job;
@@ -18,70 +18,81 @@
 
 /// How long a box that starts sends a version under trial nothing: three times the time between
 /// two words of the others on what they found.
-const NEWCOMER: Duration = Duration::from_millis(1200);
+const NEW_VERSION_HOLDOFF: Duration = Duration::from_millis(1200);
 
 impl Gateway {
     /// Counts a request that is sent, and begins to time the head of an engine's answer or a
     /// plain answer.
     ///
-    /// Of a plain request only the first try is timed: one that fails at an upstream often
+    /// Of a plain request only the first try is timer: one that fails at an upstream often
     /// fails at the next as well, whatever their versions.
-    pub fn time_try(&self, job: &Job, choice: &Choice, now: Now) -> Option<Timed> {
-        let (measure, unit) = match job.route.kind.stream_gap() {
+    pub fn start_response_timer(
+        &self,
+        job: &Job,
+        choice: &Choice,
+        now: Now,
+    ) -> Option<ResponseTimer> {
+        let (metric, unit_seconds) = match job.route.kind.stream_gap() {
             Some(_) => {
                 let expected = reading::FIXED + choice.ahead + choice.reading;
-                (Measure::Head, expected.as_secs_f64())
+                (LatencyMetric::HeadDelay, expected.as_secs_f64())
             }
-            None => (Measure::Whole, 1.0),
+            None => (LatencyMetric::ResponseTime, 1.0),
         };
-        let trial = self.trial(job, &choice.upstream, now)?;
+        let request = self.sampled_request(job, &choice.upstream, now)?;
         let versions = self.versions.borrow();
-        versions.tally().sent(trial);
-        let kind = Kind {
+        versions.local_statistics().record_request(request);
+        let kind = ResponseKind {
             route: &job.route.name,
-            measure,
+            metric,
         };
-        let timed = versions.tally().begin(trial, kind, unit, now);
-        (measure == Measure::Head || job.tries.runs() == 0).then_some(timed)
+        let timer = versions
+            .local_statistics()
+            .start_timer(request, kind, unit_seconds, now);
+        (metric == LatencyMetric::HeadDelay || job.tries.runs() == 0).then_some(timer)
     }
 
     /// Records how a try with an engine began: its head came, or a failure of its own.
-    pub fn head_came(&self, tried: &Tried, timed: Option<Timed>, now: Now) {
-        let (Some(timed), Tried::Answered(answer)) = (timed, tried) else {
+    pub fn record_head(&self, tried: &Tried, timer: Option<ResponseTimer>, now: Now) {
+        let (Some(timer), Tried::Answered(answer)) = (timer, tried) else {
             return;
         };
         if !(200..300).contains(&answer.status) {
-            timed.failed();
+            timer.record_failure();
             return;
         }
-        timed.came(now);
+        timer.record_completion(now);
     }
 
     /// Begins to time the events of an answer, of which the gaps between so many are judged.
-    pub fn time_events(
+    pub fn start_event_timer(
         &self,
         job: &Job,
         upstream: &Upstream,
         gaps: usize,
         now: Now,
-    ) -> Option<Timed> {
-        let trial = self.trial(job, upstream, now)?;
-        let kind = Kind {
+    ) -> Option<ResponseTimer> {
+        let request = self.sampled_request(job, upstream, now)?;
+        let kind = ResponseKind {
             route: &job.route.name,
-            measure: Measure::Pace,
+            metric: LatencyMetric::EventInterval,
         };
         let versions = self.versions.borrow();
-        Some(versions.tally().begin(trial, kind, gaps as f64, now))
+        Some(
+            versions
+                .local_statistics()
+                .start_timer(request, kind, gaps as f64, now),
+        )
     }
 
-    fn trial(&self, job: &Job, upstream: &Upstream, now: Now) -> Option<Trial> {
+    fn sampled_request(&self, job: &Job, upstream: &Upstream, now: Now) -> Option<SampledRequest> {
         let knowledge = self.knowledge.borrow();
         let rollout = knowledge.rollout(&job.service)?;
-        upstream.with_listed(|listed| trial(rollout, &listed.version, now))
+        upstream.with_listed(|listed| sampled_request(rollout, &listed.version, now))
     }
 
     /// Records when the first event of an answer came.
-    pub fn first_event(&self, job: &Job, answer: &Answer, model: &str, now: Now) {
+    pub fn record_first_event(&self, job: &Job, answer: &Answer, model: &str, now: Now) {
         let upstream = answer.upstream();
         let took = now.monotonic.saturating_sub(answer.sent);
         self.telemetry
@@ -92,17 +103,17 @@
         upstream.with_listed(|listed| {
             self.sessions
                 .borrow_mut()
-                .served(&job.session, &listed.version, now);
+                .record_version(&job.session, &listed.version, now);
         });
     }
 
     /// Tells whether the target of a roll-out was found bad.
-    pub fn is_condemned(&self, order: u64) -> bool {
-        self.versions.borrow().finding(order).is_some()
+    pub fn is_version_rejected(&self, order: u64) -> bool {
+        self.versions.borrow().rejection(order).is_some()
     }
 
     /// Judges the targets of all roll-outs under way, and forgets those that are not.
-    pub fn judge_versions(&self, now: Now) {
+    pub fn evaluate_rollouts(&self, now: Now) {
         let knowledge = self.knowledge.borrow();
         let orders: Vec<u64> = knowledge
             .rollouts()
@@ -111,11 +122,11 @@
             .map(|(order, _)| order.revision)
             .collect();
         let mut versions = self.versions.borrow_mut();
-        versions.keep(|order| orders.contains(&order));
+        versions.retain_orders(|order| orders.contains(&order));
         drop(versions);
-        let goes_by_record = is_in_line(self, now);
+        let uses_stored_evidence = is_in_line(self, now);
         for rollout in knowledge.rollouts().values() {
-            self.judge_version(rollout, goes_by_record, now);
+            self.evaluate_rollout(rollout, uses_stored_evidence, now);
         }
     }
 
@@ -123,43 +134,44 @@
     ///
     /// Only boxes that may lead go by what the record says was seen: others hear of it too late to
     /// weigh it against what they see themselves.
-    pub fn judge_version(
+    pub fn evaluate_rollout(
         &self,
         rollout: &Rollout,
-        goes_by_record: bool,
+        uses_stored_evidence: bool,
         now: Now,
     ) -> Option<Verdict> {
         let (order, _) = rollout.order.as_ref()?;
         let record = rollout.running(order)?;
-        let span = Span {
+        let time = RolloutTime {
             elapsed: rollout.elapsed(now)?,
             duration: order.duration,
         };
         let bound = self.settings().bounds.exposure;
-        let asked = Question {
+        let status = RolloutStatus {
             order: order.revision,
             target: &target_name(order),
-            span,
-            since: stretch_at(stage_since(record), order.duration).saturating_add(1),
-            is_compared: record.permille >= bound.middle_stage(MOVING),
+            time,
+            stage_window: window_at(stage_start(record), order.duration).saturating_add(1),
+            is_past_first_stage: record.permille
+                >= bound.middle_stage_permille(MIGRATION_STAGE_PERMILLE),
             is_proved: record.is_proved(),
-            seen: goes_by_record.then_some(*record.seen),
+            stored_evidence: uses_stored_evidence.then_some(*record.seen),
         };
         let mut versions = self.versions.borrow_mut();
-        Some(versions.judge(asked, &bound, now))
+        Some(versions.evaluate(status, &bound, now))
     }
 
     /// Takes another box's word that the target of an order is bad.
-    pub fn take_finding(&self, order: u64, from: &str) {
-        if self.versions.borrow_mut().take_finding(order) {
-            let finding = Finding::Told;
-            log::warn!(order, from; "version found bad: {finding}");
+    pub fn accept_peer_rejection(&self, order: u64, from: &str) {
+        if self.versions.borrow_mut().accept_peer_rejection(order) {
+            let reason = RejectionReason::ReportedByPeer;
+            log::warn!(order, from; "version found bad: {reason}");
         }
     }
 
     /// Tells whether this box has been up for too short a time to have been told that a
     /// version is bad.
-    pub fn is_newcomer(&self, now: Now) -> bool {
-        now.monotonic.saturating_sub(self.started) < NEWCOMER
+    pub fn has_just_started(&self, now: Now) -> bool {
+        now.monotonic.saturating_sub(self.started) < NEW_VERSION_HOLDOFF
     }
 }
--- a/src/gateway/versions/seen.rs
+++ b/src/gateway/versions/stored_evidence.rs
@@ -4,23 +4,25 @@
 //! into the record of the roll-out with each writing, so that the next boxes do not judge the
 //! version by the few answers that are left in its time.
 
-use super::judge::Summary;
+use super::latency_evidence::LatencySummary;
 use serde::{Deserialize, Serialize};
 
 /// What was seen of both versions before a certain stretch.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct StoredEvidence {
     /// How the answers that came ranked.
-    pub answers: Summary,
+    #[serde(rename = "answers")]
+    pub latency: LatencySummary,
     /// The logarithm of the odds that the version fails more often than the old one.
-    pub failures: f64,
+    #[serde(rename = "failures")]
+    pub failure_log_ratio: f64,
 }
 
-impl Seen {
+impl StoredEvidence {
     /// Returns what still holds when a stage begins: its answers are judged by themselves as well.
     pub fn at_next_stage(self) -> Self {
         Self {
-            answers: self.answers.at_next_stage(),
+            latency: self.latency.at_next_stage(),
             ..self
         }
     }
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -12,12 +12,12 @@
 mod refusals;
 mod rests;
 mod retries;
+mod rollout_simulation;
 mod rollouts;
 mod routes;
 mod spreading;
 mod starting;
 mod streams;
-mod trials;
 mod warm_up;
 
 use gatepier::clock::{Now, WallTime};
--- a/tests/gateway/rollouts.rs
+++ b/tests/gateway/rollouts.rs
@@ -4,15 +4,19 @@
 use gatepier::gateway::control::knowledge::Knowledge;
 use gatepier::gateway::control::rollout::Rollout;
 use gatepier::gateway::control::store::{RolloutOrder, RolloutRecord, RolloutState, Update};
-use gatepier::gateway::versions::exposure::{ExposureBound, Span};
-use gatepier::gateway::versions::judge::{Evidence, Judgement};
-use gatepier::gateway::versions::observed::{Kind, Measure, Sent, Trial};
+use gatepier::gateway::versions::exposure::{ExposureBound, RolloutTime};
+use gatepier::gateway::versions::latency_evidence::{EvidenceLevel, LatencyEvidence};
+use gatepier::gateway::versions::monitor::{
+    RejectionReason, RolloutStatus, Verdict, VersionMonitor,
+};
 use gatepier::gateway::versions::rollout::{
-    Progress, VersionQuery, VersionRule, is_overdue, next_record, version_rule,
+    RolloutProgress, VersionQuery, VersionRule, is_record_overdue, next_record, version_rule,
+};
+use gatepier::gateway::versions::session_versions::SessionVersions;
+use gatepier::gateway::versions::statistics::{
+    LatencyMetric, RequestCounts, ResponseKind, SampledRequest,
 };
-use gatepier::gateway::versions::seen::Seen;
-use gatepier::gateway::versions::sessions::Sessions;
-use gatepier::gateway::versions::watch::{Finding, Question, Verdict, VersionWatch};
+use gatepier::gateway::versions::stored_evidence::StoredEvidence;
 use gatepier::name::VersionName;
 use googletest::prelude::*;
 use std::time::Duration;
@@ -44,7 +48,7 @@
 }
 
 /// Makes what a box knows of a roll-out.
-fn known(record: Option<RolloutRecord>) -> Rollout {
+fn rollout_with(record: Option<RolloutRecord>) -> Rollout {
     let mut knowledge = Knowledge::default();
     knowledge.apply(Update::RolloutOrdered(order()), at(0));
     if let Some(record) = record {
@@ -56,10 +60,10 @@
 fn query(session: &str) -> VersionQuery<'_> {
     VersionQuery {
         session,
-        pinned: None,
-        stays_old: false,
-        condemned: false,
-        is_newcomer: false,
+        session_version: None,
+        stays_on_old_version: false,
+        is_rejected: false,
+        has_just_started: false,
     }
 }
 
@@ -78,26 +82,26 @@
 
 /// What the leading box knows of a version that answers enough to be proved good, or of which
 /// nothing is known.
-fn progress(seconds: u32, is_good: bool) -> Progress {
+fn progress(seconds: u32, is_good: bool) -> RolloutProgress {
     let evidence = match is_good {
-        true => Evidence::BeyondDoubt,
-        false => Evidence::Wanting,
+        true => EvidenceLevel::Conclusive,
+        false => EvidenceLevel::Insufficient,
     };
-    Progress {
+    RolloutProgress {
         elapsed: SECOND * seconds,
-        unseen: Duration::ZERO,
-        condemned: false,
+        unobserved: Duration::ZERO,
+        is_rejected: false,
         verdict: Verdict {
-            judgement: Judgement::default(),
+            latency: LatencyEvidence::default(),
             evidence,
-            at_stage: evidence,
+            stage_evidence: evidence,
             // A hundred a second, of which 30 are as many as the first stage takes.
-            sent: Sent {
-                new: 0,
+            requests: RequestCounts {
+                new_version: 0,
                 all: u64::from(seconds) * 100,
-                from: Some(Duration::ZERO),
+                first_at: Some(Duration::ZERO),
             },
-            seen: Seen::default(),
+            stored_evidence: StoredEvidence::default(),
         },
         bound: bound(),
     }
@@ -112,111 +116,114 @@
 
 /// How an answer went, against the usual time.
 #[derive(Debug, Clone, Copy)]
-enum Answer {
-    Whole,
+enum Response {
+    Normal,
     Slow,
     Untimed,
     Failed,
 }
 
 /// A roll-out at which answers are counted, all in one stretch of its time.
-struct Counting {
-    watch: VersionWatch,
-    answers: u32,
+struct RolloutFixture {
+    monitor: VersionMonitor,
+    recorded: u32,
 }
 
-impl Counting {
+impl RolloutFixture {
     fn new(reporter: &str) -> Self {
         Self {
-            watch: VersionWatch::new(reporter),
-            answers: 0,
+            monitor: VersionMonitor::new(reporter),
+            recorded: 0,
         }
     }
 
-    fn trial(is_new: bool) -> Trial {
-        Trial {
+    fn sampled_request(is_new_version: bool) -> SampledRequest {
+        SampledRequest {
             order: 10,
-            stretch: 3,
+            window: 3,
             elapsed: 3 * SECOND,
-            is_new,
+            is_new_version,
         }
     }
 
     /// Counts an answer that took so many seconds; none if it failed.
-    fn count_time(&mut self, is_new: bool, route: &str, seconds: Option<f64>) {
-        let kind = Kind {
+    fn record_time(&mut self, is_new_version: bool, route: &str, seconds: Option<f64>) {
+        let kind = ResponseKind {
             route,
-            measure: Measure::Whole,
+            metric: LatencyMetric::ResponseTime,
         };
-        let timed = self
-            .watch
-            .tally()
-            .begin(Self::trial(is_new), kind, 1.0, at(0));
+        let timer = self.monitor.local_statistics().start_timer(
+            Self::sampled_request(is_new_version),
+            kind,
+            1.0,
+            at(0),
+        );
         match seconds {
-            Some(seconds) => timed.took(seconds),
-            None => timed.failed(),
+            Some(seconds) => timer.record_duration(seconds),
+            None => timer.record_failure(),
         }
     }
 
     /// Counts an answer; sound ones differ by up to a quarter.
-    fn count(&mut self, is_new: bool, route: &str, answer: Answer) {
-        self.answers += 1;
-        let usual = 0.1 * (1.0 + f64::from(self.answers * 7 % 25) / 100.0);
-        match answer {
-            Answer::Whole => self.count_time(is_new, route, Some(usual)),
-            Answer::Slow => self.count_time(is_new, route, Some(usual * 4.0)),
-            Answer::Failed => self.count_time(is_new, route, None),
-            Answer::Untimed => {
-                let kind = Kind {
+    fn record(&mut self, is_new_version: bool, route: &str, response: Response) {
+        self.recorded += 1;
+        let usual = 0.1 * (1.0 + f64::from(self.recorded * 7 % 25) / 100.0);
+        match response {
+            Response::Normal => self.record_time(is_new_version, route, Some(usual)),
+            Response::Slow => self.record_time(is_new_version, route, Some(usual * 4.0)),
+            Response::Failed => self.record_time(is_new_version, route, None),
+            Response::Untimed => {
+                let kind = ResponseKind {
                     route,
-                    measure: Measure::Whole,
+                    metric: LatencyMetric::ResponseTime,
                 };
-                drop(
-                    self.watch
-                        .tally()
-                        .begin(Self::trial(is_new), kind, 1.0, at(0)),
-                );
+                drop(self.monitor.local_statistics().start_timer(
+                    Self::sampled_request(is_new_version),
+                    kind,
+                    1.0,
+                    at(0),
+                ));
             }
         }
     }
 
     /// Counts an answer of the target, and beside it a whole one of the old version.
-    fn count_both(&mut self, route: &str, answer: Answer) {
-        self.count(false, route, Answer::Whole);
-        self.count(true, route, answer);
+    fn record_both(&mut self, route: &str, response: Response) {
+        self.record(false, route, Response::Normal);
+        self.record(true, route, response);
     }
 
-    fn judge(&mut self, now_ms: u64) -> Verdict {
-        self.judge_by(None, now_ms)
+    fn evaluate(&mut self, now_ms: u64) -> Verdict {
+        self.evaluate_with(None, now_ms)
     }
 
     /// Judges by the counts and by what a record says was seen before.
-    fn judge_by(&mut self, seen: Option<Seen>, now_ms: u64) -> Verdict {
+    fn evaluate_with(&mut self, stored_evidence: Option<StoredEvidence>, now_ms: u64) -> Verdict {
         let target = target();
-        let asked = Question {
+        let status = RolloutStatus {
             order: 10,
             target: &target,
-            span: Span {
+            time: RolloutTime {
                 elapsed: 6 * SECOND,
                 duration: 24 * SECOND,
             },
-            since: 0,
-            is_compared: false,
+            stage_window: 0,
+            is_past_first_stage: false,
             is_proved: true,
-            seen,
+            stored_evidence,
         };
-        self.watch.judge(asked, &bound(), at(now_ms))
+        self.monitor.evaluate(status, &bound(), at(now_ms))
     }
 
-    fn is_bad(&mut self) -> bool {
-        self.judge(0);
-        self.watch.finding(10).is_some()
+    fn is_rejected(&mut self) -> bool {
+        self.evaluate(0);
+        self.monitor.rejection(10).is_some()
     }
 }
 
 cases! {
     nobody_gets_the_target_before_a_box_leads => {
-        let rollout = known(None);
+        let rollout = rollout_with(None);
         for session in 0..100 {
             let rule = version_rule(Some(&rollout), query(&session.to_string()), at(1));
             expect_that!(rule.allows("v2"), eq(false));
@@ -224,7 +231,7 @@
     }
 
     first_stage_serves_a_tenth_of_the_sessions => {
-        let rollout = known(Some(record(RolloutState::Running, 100, SECOND)));
+        let rollout = rollout_with(Some(record(RolloutState::Running, 100, SECOND)));
         let moved = (0..2000)
             .filter(|session| served_by_target(&rollout, query(&session.to_string()), 1))
             .count();
@@ -233,26 +240,26 @@
 
     session_of_the_old_version_stays_in_the_first_half => {
         // Sessions reach several boxes: hashing alone moved twenty of them on a calm day.
-        let rollout = known(Some(record(RolloutState::Running, 1000, SECOND)));
-        let stays = VersionQuery { stays_old: true, ..query("s") };
+        let rollout = rollout_with(Some(record(RolloutState::Running, 1000, SECOND)));
+        let stays = VersionQuery { stays_on_old_version: true, ..query("s") };
         expect_that!(served_by_target(&rollout, query("s"), 1), eq(true));
         expect_that!(served_by_target(&rollout, stays, 1), eq(false));
         expect_that!(served_by_target(&rollout, stays, 13_000), eq(true));
     }
 
     session_of_the_target_keeps_it => {
-        let rollout = known(Some(record(RolloutState::Running, 0, SECOND)));
-        let pinned = VersionQuery { pinned: Some("v2"), ..query("s") };
-        expect_that!(served_by_target(&rollout, pinned, 1), eq(true));
+        let rollout = rollout_with(Some(record(RolloutState::Running, 0, SECOND)));
+        let on_target = VersionQuery { session_version: Some("v2"), ..query("s") };
+        expect_that!(served_by_target(&rollout, on_target, 1), eq(true));
     }
 
     condemned_or_reverted_target_serves_nobody => {
-        let running = known(Some(record(RolloutState::Running, 1000, SECOND)));
-        let condemned = VersionQuery { condemned: true, pinned: Some("v2"), ..query("s") };
-        expect_that!(version_rule(Some(&running), condemned, at(1)).allows("v2"), eq(false));
-        let reverted = known(Some(record(RolloutState::Reverted, 0, SECOND)));
-        let pinned = VersionQuery { pinned: Some("v2"), ..query("s") };
-        expect_that!(version_rule(Some(&reverted), pinned, at(1)).allows("v2"), eq(false));
+        let running = rollout_with(Some(record(RolloutState::Running, 1000, SECOND)));
+        let rejected = VersionQuery { is_rejected: true, session_version: Some("v2"), ..query("s") };
+        expect_that!(version_rule(Some(&running), rejected, at(1)).allows("v2"), eq(false));
+        let reverted = rollout_with(Some(record(RolloutState::Reverted, 0, SECOND)));
+        let on_target = VersionQuery { session_version: Some("v2"), ..query("s") };
+        expect_that!(version_rule(Some(&reverted), on_target, at(1)).allows("v2"), eq(false));
     }
 
     stages_wait_for_sessions_to_be_told => {
@@ -293,7 +300,7 @@
     version_that_is_not_proved_under_load_gets_no_more => {
         let compared = record(RolloutState::Running, 400, 14 * SECOND);
         let mut unproved = progress(17, true);
-        unproved.verdict.at_stage = Evidence::Speaks;
+        unproved.verdict.stage_evidence = EvidenceLevel::Favourable;
         let next = next_record(&order(), Some(&compared), unproved);
         expect_that!(next.map_or(400, |next| next.permille), eq(400));
     }
@@ -310,9 +317,9 @@
 
     stages_follow_from_the_operators_share => {
         let narrow = ExposureBound { share: 0.05, ..bound() };
-        expect_that!(narrow.middle_stage(400), eq(135));
-        let span = Span { elapsed: 2 * SECOND, duration: 24 * SECOND };
-        let first = |all| narrow.first_stage(Sent { new: 0, all, from: None }, span);
+        expect_that!(narrow.middle_stage_permille(400), eq(135));
+        let time = RolloutTime { elapsed: 2 * SECOND, duration: 24 * SECOND };
+        let first = |all| narrow.first_stage_permille(RequestCounts { new_version: 0, all, first_at: None }, time);
         expect_that!(first(20), gt(first(200)));
         expect_that!(first(2000), lt(first(200)));
     }
@@ -343,28 +350,28 @@
             knowledge.apply(Update::RolloutStage(written, 11), at(0));
             knowledge
         };
-        let unseen = |knowledge: &Knowledge, millis| knowledge.rollout("engine").unwrap().unseen(at(millis));
+        let unobserved = |knowledge: &Knowledge, millis| knowledge.rollout("engine").unwrap().unseen(at(millis));
         let half_an_interval = order().duration / 40;
         let mut knowledge = started();
-        expect_that!(unseen(&knowledge, 0), eq(2 * half_an_interval));
+        expect_that!(unobserved(&knowledge, 0), eq(2 * half_an_interval));
         // What is written from then on counts it once.
         let mut next = record(RolloutState::Running, 45, 8 * SECOND);
         next.unseen_ms = 1200;
         knowledge.apply(Update::RolloutStage(next, 12), at(2000));
-        expect_that!(unseen(&knowledge, 2500), eq(2 * half_an_interval));
+        expect_that!(unobserved(&knowledge, 2500), eq(2 * half_an_interval));
         // A box that has lived on knows better.
         let mut knowledge = started();
         knowledge.hear_elapsed(order().revision, 6_700 * SECOND / 1000, at(100));
-        expect_that!(unseen(&knowledge, 100), eq(half_an_interval));
+        expect_that!(unobserved(&knowledge, 100), eq(half_an_interval));
         // Who listened as it was written has missed nothing.
         let mut knowledge = Knowledge::default();
         knowledge.apply(Update::RolloutOrdered(order()), at(0));
         let first = record(RolloutState::Running, 45, 2 * SECOND);
         knowledge.apply(Update::RolloutStage(first, 11), at(1700));
-        expect_that!(unseen(&knowledge, 1700), eq(Duration::ZERO));
+        expect_that!(unobserved(&knowledge, 1700), eq(Duration::ZERO));
         let compared = record(RolloutState::Running, 400, 14 * SECOND);
-        let state = |unseen| {
-            let late = Progress { unseen, ..progress(21, false) };
+        let state = |unobserved| {
+            let late = RolloutProgress { unobserved, ..progress(21, false) };
             next_record(&order(), Some(&compared), late).unwrap().state
         };
         expect_that!(state(Duration::ZERO), eq(RolloutState::Running));
@@ -374,49 +381,49 @@
     box_that_was_restarted_does_not_take_what_it_counted_for_the_whole => {
         // A sound version was taken back for this: a box that was restarted as the middle stages
         // began had counted 58 of 161 requests to the new version, all boxes 96 of 487.
-        let span = Span { elapsed: 14_500 * SECOND / 1000, duration: 20 * SECOND };
-        let counted = |from| Sent { new: 58, all: 161, from: Some(from) };
-        expect_that!(bound().is_spent(counted(8 * SECOND), span), eq(false));
-        expect_that!(bound().is_spent(counted(Duration::ZERO), span), eq(true));
+        let time = RolloutTime { elapsed: 14_500 * SECOND / 1000, duration: 20 * SECOND };
+        let requests = |first_at| RequestCounts { new_version: 58, all: 161, first_at: Some(first_at) };
+        expect_that!(bound().is_exhausted(requests(8 * SECOND), time), eq(false));
+        expect_that!(bound().is_exhausted(requests(Duration::ZERO), time), eq(true));
     }
 
     share_is_bounded_by_what_a_restarted_box_counted => {
         // All boxes were restarted half-way, and every second request goes to the version since.
-        let span = Span { elapsed: 16 * SECOND, duration: 20 * SECOND };
-        let counted = Sent { new: 150, all: 300, from: Some(10 * SECOND) };
-        expect_that!(bound().is_spent(counted, span), eq(true));
+        let time = RolloutTime { elapsed: 16 * SECOND, duration: 20 * SECOND };
+        let requests = RequestCounts { new_version: 150, all: 300, first_at: Some(10 * SECOND) };
+        expect_that!(bound().is_exhausted(requests, time), eq(true));
     }
 
     counts_of_boxes_begin_with_the_first_of_them => {
-        let trial = |seconds, is_new| Trial { elapsed: seconds * SECOND, ..Counting::trial(is_new) };
-        let mut sent = Sent::default();
-        sent.count(trial(5, true));
-        sent.count(trial(6, false));
-        let mut other = Sent::default();
-        other.extend(&Sent::default());
-        expect_that!(other.from, none());
-        other.count(trial(2, true));
-        sent.extend(&other);
-        expect_that!(sent, eq(Sent { new: 2, all: 3, from: Some(2 * SECOND) }));
+        let request = |seconds, is_new_version| SampledRequest { elapsed: seconds * SECOND, ..RolloutFixture::sampled_request(is_new_version) };
+        let mut requests = RequestCounts::default();
+        requests.record(request(5, true));
+        requests.record(request(6, false));
+        let mut other = RequestCounts::default();
+        other.merge(&RequestCounts::default());
+        expect_that!(other.first_at, none());
+        other.record(request(2, true));
+        requests.merge(&other);
+        expect_that!(requests, eq(RequestCounts { new_version: 2, all: 3, first_at: Some(2 * SECOND) }));
     }
 
     roll_out_is_overdue_when_the_leading_box_does_not_write => {
         // Time is written each 1.2 s of 24 s; another second and a half may pass.
         let first = record(RolloutState::Running, 100, 4 * SECOND);
-        expect_that!(is_overdue(&order(), Some(&first), 6 * SECOND), eq(false));
-        expect_that!(is_overdue(&order(), Some(&first), 7 * SECOND), eq(true));
+        expect_that!(is_record_overdue(&order(), Some(&first), 6 * SECOND), eq(false));
+        expect_that!(is_record_overdue(&order(), Some(&first), 7 * SECOND), eq(true));
         // Nobody has written of this order yet.
-        expect_that!(is_overdue(&order(), None, SECOND), eq(false));
-        expect_that!(is_overdue(&order(), None, 2 * SECOND), eq(true));
+        expect_that!(is_record_overdue(&order(), None, SECOND), eq(false));
+        expect_that!(is_record_overdue(&order(), None, 2 * SECOND), eq(true));
     }
 
     box_that_has_just_started_sends_a_version_on_trial_nothing => {
         // It cannot have been told yet that another box found the version bad.
-        let newcomer = VersionQuery { is_newcomer: true, pinned: Some("v2"), ..query("s") };
-        let on_trial = known(Some(record(RolloutState::Running, 400, SECOND)));
-        expect_that!(version_rule(Some(&on_trial), newcomer, at(1)).allows("v2"), eq(false));
-        let proved = known(Some(record(RolloutState::Running, 1000, SECOND)));
-        expect_that!(version_rule(Some(&proved), newcomer, at(1)).allows("v2"), eq(true));
+        let just_started = VersionQuery { has_just_started: true, session_version: Some("v2"), ..query("s") };
+        let on_trial = rollout_with(Some(record(RolloutState::Running, 400, SECOND)));
+        expect_that!(version_rule(Some(&on_trial), just_started, at(1)).allows("v2"), eq(false));
+        let proved = rollout_with(Some(record(RolloutState::Running, 1000, SECOND)));
+        expect_that!(version_rule(Some(&proved), just_started, at(1)).allows("v2"), eq(true));
     }
 
     good_target_is_done_before_the_deadline => {
@@ -435,7 +442,7 @@
 
     bad_target_is_reverted_and_stays_so => {
         let running = record(RolloutState::Running, 100, SECOND);
-        let bad = Progress { condemned: true, ..progress(5, false) };
+        let bad = RolloutProgress { is_rejected: true, ..progress(5, false) };
         let reverted = next_record(&order(), Some(&running), bad).unwrap();
         expect_that!(reverted.state, eq(RolloutState::Reverted));
         expect_that!(next_record(&order(), Some(&reverted), progress(20, true)), none());
@@ -450,410 +457,410 @@
     }
 
     failing_version_is_found_bad_within_fifty_answers => {
-        let mut counting = Counting::new("box");
-        let mut answers = 0;
-        while !counting.is_bad() && answers < 200 {
-            let failed = answers % 3 == 0;
-            let answer = if failed { Answer::Failed } else { Answer::Whole };
-            counting.count(true, "recap", answer);
-            answers += 1;
+        let mut fixture = RolloutFixture::new("box");
+        let mut responses = 0;
+        while !fixture.is_rejected() && responses < 200 {
+            let failed = responses % 3 == 0;
+            let response = if failed { Response::Failed } else { Response::Normal };
+            fixture.record(true, "recap", response);
+            responses += 1;
         }
-        expect_that!(answers, lt(50));
+        expect_that!(responses, lt(50));
     }
 
     slow_version_is_found_bad => {
-        let mut counting = Counting::new("box");
-        for answer in 0..120 {
-            let answer = if answer % 3 == 0 { Answer::Slow } else { Answer::Whole };
-            counting.count_both("recap", answer);
+        let mut fixture = RolloutFixture::new("box");
+        for response in 0..120 {
+            let response = if response % 3 == 0 { Response::Slow } else { Response::Normal };
+            fixture.record_both("recap", response);
         }
-        expect_that!(counting.is_bad(), eq(true));
+        expect_that!(fixture.is_rejected(), eq(true));
     }
 
     version_bad_on_one_route_is_found => {
-        let mut counting = Counting::new("box");
-        for answer in 0..100 {
-            let answer = if answer % 2 == 0 { Answer::Failed } else { Answer::Whole };
-            counting.count_both("recap", answer);
+        let mut fixture = RolloutFixture::new("box");
+        for response in 0..100 {
+            let response = if response % 2 == 0 { Response::Failed } else { Response::Normal };
+            fixture.record_both("recap", response);
             for _ in 0..9 {
-                counting.count_both("caption", Answer::Whole);
+                fixture.record_both("caption", Response::Normal);
             }
         }
-        expect_that!(counting.is_bad(), eq(true));
+        expect_that!(fixture.is_rejected(), eq(true));
     }
 
     version_slow_on_one_route_is_found => {
-        let mut counting = Counting::new("box");
-        for answer in 0..60 {
-            let answer = if answer % 2 == 0 { Answer::Slow } else { Answer::Whole };
-            counting.count_both("recap", answer);
-            counting.count_both("caption", Answer::Whole);
+        let mut fixture = RolloutFixture::new("box");
+        for response in 0..60 {
+            let response = if response % 2 == 0 { Response::Slow } else { Response::Normal };
+            fixture.record_both("recap", response);
+            fixture.record_both("caption", Response::Normal);
         }
-        expect_that!(counting.is_bad(), eq(true));
+        expect_that!(fixture.is_rejected(), eq(true));
     }
 
     good_version_with_some_failures_is_kept => {
-        let mut counting = Counting::new("box");
-        for answer in 0..5000 {
-            let answer = match answer % 25 {
-                0 => Answer::Failed,
-                1 => Answer::Slow,
-                _ => Answer::Whole,
+        let mut fixture = RolloutFixture::new("box");
+        for response in 0..5000 {
+            let response = match response % 25 {
+                0 => Response::Failed,
+                1 => Response::Slow,
+                _ => Response::Normal,
             };
-            counting.count_both("recap", answer);
-            expect_that!(counting.is_bad(), eq(false));
+            fixture.record_both("recap", response);
+            expect_that!(fixture.is_rejected(), eq(false));
         }
     }
 
     counts_of_other_boxes_add_up => {
-        let mut one = Counting::new("one");
-        let mut other = Counting::new("other");
+        let mut one = RolloutFixture::new("one");
+        let mut other = RolloutFixture::new("other");
         for _ in 0..5 {
-            one.count(true, "recap", Answer::Failed);
-            other.count(true, "recap", Answer::Failed);
+            one.record(true, "recap", Response::Failed);
+            other.record(true, "recap", Response::Failed);
         }
-        expect_that!(one.is_bad(), eq(false));
-        let reports = other.watch.reports(at(0));
+        expect_that!(one.is_rejected(), eq(false));
+        let reports = other.monitor.reports(at(0));
         for report in reports.iter().chain(&reports) {
-            one.watch.take(report.clone());
+            one.monitor.accept_report(report.clone());
         }
-        expect_that!(one.judge(0).judgement.answers, eq(10));
-        expect_that!(one.is_bad(), eq(true));
+        expect_that!(one.evaluate(0).latency.responses, eq(10));
+        expect_that!(one.is_rejected(), eq(true));
     }
 
     late_report_does_not_take_the_place_of_a_newer_one => {
-        let mut one = Counting::new("one");
-        let mut other = Counting::new("other");
-        other.count(true, "recap", Answer::Whole);
-        let early = other.watch.reports(at(0));
-        other.count(true, "recap", Answer::Whole);
-        let late = other.watch.reports(at(0));
+        let mut one = RolloutFixture::new("one");
+        let mut other = RolloutFixture::new("other");
+        other.record(true, "recap", Response::Normal);
+        let early = other.monitor.reports(at(0));
+        other.record(true, "recap", Response::Normal);
+        let late = other.monitor.reports(at(0));
         for report in late.into_iter().chain(early) {
-            one.watch.take(report);
+            one.monitor.accept_report(report);
         }
-        expect_that!(one.judge(0).judgement.answers, eq(2));
+        expect_that!(one.evaluate(0).latency.responses, eq(2));
     }
 
     slow_is_told_against_the_old_version_on_the_same_route => {
-        let times = |old, new| {
-            let mut counting = Counting::new("box");
+        let is_rejected_with = |route, new| {
+            let mut fixture = RolloutFixture::new("box");
             for _ in 0..20 {
-                counting.count_time(false, "bookmark", Some(0.02));
-                counting.count_time(false, "report", Some(0.12));
+                fixture.record_time(false, "bookmark", Some(0.02));
+                fixture.record_time(false, "report", Some(0.12));
             }
             for _ in 0..20 {
-                counting.count_time(true, old, Some(new));
+                fixture.record_time(true, route, Some(new));
             }
-            counting.is_bad()
+            fixture.is_rejected()
         };
-        expect_that!(times("bookmark", 0.1), eq(true));
-        expect_that!(times("report", 0.1), eq(false));
-        expect_that!(times("unheard of", 0.1), eq(false));
+        expect_that!(is_rejected_with("bookmark", 0.1), eq(true));
+        expect_that!(is_rejected_with("report", 0.1), eq(false));
+        expect_that!(is_rejected_with("unheard of", 0.1), eq(false));
     }
 
     plain_version_that_slows_a_quarter_of_its_answers_is_found => {
-        let mut counting = Counting::new("box");
-        for answer in 0..60 {
-            let answer = if answer % 4 == 0 { Answer::Slow } else { Answer::Whole };
-            counting.count_both("bookmark", answer);
+        let mut fixture = RolloutFixture::new("box");
+        for response in 0..60 {
+            let response = if response % 4 == 0 { Response::Slow } else { Response::Normal };
+            fixture.record_both("bookmark", response);
         }
-        expect_that!(counting.is_bad(), eq(true));
+        expect_that!(fixture.is_rejected(), eq(true));
     }
 
     answers_too_short_to_be_timed_hide_no_slow_ones => {
         // Fails where they count as fast ones: half of the users' answers have three events.
-        let mut counting = Counting::new("box");
-        for answer in 0..80 {
-            let answer = if answer % 2 == 0 { Answer::Slow } else { Answer::Untimed };
-            counting.count_both("tag", answer);
+        let mut fixture = RolloutFixture::new("box");
+        for response in 0..80 {
+            let response = if response % 2 == 0 { Response::Slow } else { Response::Untimed };
+            fixture.record_both("tag", response);
         }
-        expect_that!(counting.is_bad(), eq(true));
+        expect_that!(fixture.is_rejected(), eq(true));
     }
 
     engine_that_slows_nearly_all_answers_is_found_bad => {
-        let mut counting = Counting::new("box");
-        for answer in 0..40 {
-            let answer = if answer % 6 == 0 { Answer::Whole } else { Answer::Slow };
-            counting.count_both("recap", answer);
+        let mut fixture = RolloutFixture::new("box");
+        for response in 0..40 {
+            let response = if response % 6 == 0 { Response::Normal } else { Response::Slow };
+            fixture.record_both("recap", response);
         }
-        expect_that!(counting.is_bad(), eq(true));
+        expect_that!(fixture.is_rejected(), eq(true));
     }
 
     engine_that_slows_four_answers_in_ten_is_found_bad => {
         // Fails where four slow answers in ten are borne of engines, as they were: with few
         // requests at a time an engine slows only those that the version slows.
-        let mut counting = Counting::new("box");
-        for answer in 0..100 {
-            let answer = if answer % 5 < 2 { Answer::Slow } else { Answer::Whole };
-            counting.count_both("recap", answer);
+        let mut fixture = RolloutFixture::new("box");
+        for response in 0..100 {
+            let response = if response % 5 < 2 { Response::Slow } else { Response::Normal };
+            fixture.record_both("recap", response);
         }
-        expect_that!(counting.is_bad(), eq(true));
+        expect_that!(fixture.is_rejected(), eq(true));
     }
 
     engine_that_reads_all_prompts_anew_for_a_while_is_kept => {
         // A good version's answers were held up when a stage moved many sessions to it: four
         // in ten by a third beyond the old one's spread.
-        let mut counting = Counting::new("box");
-        for answer in 0..100 {
-            counting.count(false, "recap", Answer::Whole);
-            let held_up = if answer % 5 < 2 { 1.33 } else { 1.1 };
-            let usual = 0.1 * (1.0 + f64::from(answer * 7 % 25) / 100.0);
-            counting.count_time(true, "recap", Some(usual * held_up));
+        let mut fixture = RolloutFixture::new("box");
+        for response in 0..100 {
+            fixture.record(false, "recap", Response::Normal);
+            let held_up = if response % 5 < 2 { 1.33 } else { 1.1 };
+            let usual = 0.1 * (1.0 + f64::from(response * 7 % 25) / 100.0);
+            fixture.record_time(true, "recap", Some(usual * held_up));
         }
-        expect_that!(counting.is_bad(), eq(false));
+        expect_that!(fixture.is_rejected(), eq(false));
     }
 
     crowd_that_slows_both_versions_alike_condemns_none => {
         // Fails where a time is compared with one learned before: a running mean of what was
         // usual took such versions for slow.
-        let mut counting = Counting::new("box");
-        for answer in 0..200 {
-            let usual = 0.1 * (1.0 + f64::from(answer * 7 % 25) / 100.0);
-            for is_new in [false, true] {
-                counting.count_time(is_new, "recap", Some(usual * 6.0));
+        let mut fixture = RolloutFixture::new("box");
+        for response in 0..200 {
+            let usual = 0.1 * (1.0 + f64::from(response * 7 % 25) / 100.0);
+            for is_new_version in [false, true] {
+                fixture.record_time(is_new_version, "recap", Some(usual * 6.0));
             }
         }
-        expect_that!(counting.is_bad(), eq(false));
+        expect_that!(fixture.is_rejected(), eq(false));
     }
 
     slow_answers_count_while_they_are_under_way => {
         // Fails where an answer is counted when it has come: those of a slow version come last.
-        let mut counting = Counting::new("box");
-        let kind = Kind { route: "recap", measure: Measure::Whole };
-        let mut under_way = Vec::new();
+        let mut fixture = RolloutFixture::new("box");
+        let kind = ResponseKind { route: "recap", metric: LatencyMetric::ResponseTime };
+        let mut in_flight = Vec::new();
         for _ in 0..30 {
-            counting.count(false, "recap", Answer::Whole);
-            let trial = Counting::trial(true);
-            under_way.push(counting.watch.tally().begin(trial, kind, 1.0, at(0)));
+            fixture.record(false, "recap", Response::Normal);
+            let request = RolloutFixture::sampled_request(true);
+            in_flight.push(fixture.monitor.local_statistics().start_timer(request, kind, 1.0, at(0)));
         }
-        counting.judge(500);
-        expect_that!(counting.watch.finding(10), some(eq(&Finding::Slow)));
+        fixture.evaluate(500);
+        expect_that!(fixture.monitor.rejection(10), some(eq(&RejectionReason::Slow)));
     }
 
     answers_that_have_just_begun_say_nothing_against_a_version => {
         // Fails where all that is under way counts as slow: after a step of the stage the new
         // version's requests are younger than the old one's.
-        let mut counting = Counting::new("box");
-        let kind = Kind { route: "recap", measure: Measure::Whole };
-        let mut under_way = Vec::new();
+        let mut fixture = RolloutFixture::new("box");
+        let kind = ResponseKind { route: "recap", metric: LatencyMetric::ResponseTime };
+        let mut in_flight = Vec::new();
         for _ in 0..100 {
-            counting.count(false, "recap", Answer::Whole);
-            let trial = Counting::trial(true);
-            under_way.push(counting.watch.tally().begin(trial, kind, 1.0, at(500)));
+            fixture.record(false, "recap", Response::Normal);
+            let request = RolloutFixture::sampled_request(true);
+            in_flight.push(fixture.monitor.local_statistics().start_timer(request, kind, 1.0, at(500)));
         }
-        counting.judge(520);
-        expect_that!(counting.watch.finding(10), none());
-        expect_that!(counting.judge(520).evidence, eq(Evidence::Wanting));
+        fixture.evaluate(520);
+        expect_that!(fixture.monitor.rejection(10), none());
+        expect_that!(fixture.evaluate(520).evidence, eq(EvidenceLevel::Insufficient));
     }
 
     failures_that_the_old_version_shows_too_are_no_fault_of_the_new_one => {
         // Fails where a fixed part of failures is tolerated: one bookmark in seven gets 500
         // from every version.
-        let mut counting = Counting::new("box");
-        for answer in 0..2000 {
-            let answer = if answer % 7 == 0 { Answer::Failed } else { Answer::Whole };
-            counting.count(false, "bookmark", answer);
-            counting.count(true, "bookmark", answer);
-            expect_that!(counting.is_bad(), eq(false));
+        let mut fixture = RolloutFixture::new("box");
+        for response in 0..2000 {
+            let response = if response % 7 == 0 { Response::Failed } else { Response::Normal };
+            fixture.record(false, "bookmark", response);
+            fixture.record(true, "bookmark", response);
+            expect_that!(fixture.is_rejected(), eq(false));
         }
     }
 
     version_that_fails_one_answer_in_ten_is_not_proved => {
         // Fails where twice what the guard bears is taken for little: such a version was brought
         // in on five of nine days.
-        let evidence = |fails_each: u32| {
-            let mut counting = Counting::new("box");
-            for answer in 0..100 {
-                let answer = if answer % fails_each == 7 { Answer::Failed } else { Answer::Whole };
-                counting.count_both("bookmark", answer);
+        let evidence = |fails_every: u32| {
+            let mut fixture = RolloutFixture::new("box");
+            for response in 0..100 {
+                let response = if response % fails_every == 7 { Response::Failed } else { Response::Normal };
+                fixture.record_both("bookmark", response);
             }
-            counting.judge(0).evidence
+            fixture.evaluate(0).evidence
         };
-        expect_that!(evidence(10), lt(Evidence::Triable));
-        expect_that!(evidence(101), ge(Evidence::Proves));
+        expect_that!(evidence(10), lt(EvidenceLevel::Tentative));
+        expect_that!(evidence(101), ge(EvidenceLevel::Sufficient));
     }
 
     version_that_slows_batches_is_not_proved => {
         // Fails where the tail of the ranks alone is looked at: a version that slows some requests
         // twofold slows those beside them by a tenth or two.
         let evidence = |times: f64| {
-            let mut counting = Counting::new("box");
-            let kind = Kind { route: "recap", measure: Measure::Pace };
-            for answer in 0..60 {
-                let usual = 0.03 * (1.0 + f64::from(answer * 7 % 25) / 100.0);
-                for is_new in [false, true] {
-                    let begun = counting.watch.tally().begin(Counting::trial(is_new), kind, 1.0, at(0));
-                    begun.took(if is_new { usual * times } else { usual });
-                    counting.count(is_new, "recap", Answer::Whole);
+            let mut fixture = RolloutFixture::new("box");
+            let kind = ResponseKind { route: "recap", metric: LatencyMetric::EventInterval };
+            for response in 0..60 {
+                let usual = 0.03 * (1.0 + f64::from(response * 7 % 25) / 100.0);
+                for is_new_version in [false, true] {
+                    let timer = fixture.monitor.local_statistics().start_timer(RolloutFixture::sampled_request(is_new_version), kind, 1.0, at(0));
+                    timer.record_duration(if is_new_version { usual * times } else { usual });
+                    fixture.record(is_new_version, "recap", Response::Normal);
                 }
             }
-            counting.judge(0).evidence
+            fixture.evaluate(0).evidence
         };
-        expect_that!(evidence(1.12), lt(Evidence::Proves));
-        expect_that!(evidence(0.95), ge(Evidence::Proves));
+        expect_that!(evidence(1.12), lt(EvidenceLevel::Sufficient));
+        expect_that!(evidence(0.95), ge(EvidenceLevel::Sufficient));
     }
 
     answers_of_the_faster_half_do_not_run_the_time_to_stop => {
         // Fails where every answer counts as bad: sound versions were taken back five seconds
         // after their fiftieth answer, with odds of e^-20 that they are bad.
-        let mut counting = Counting::new("box");
+        let mut fixture = RolloutFixture::new("box");
         for _ in 0..60 {
-            counting.count_both("recap", Answer::Whole);
+            fixture.record_both("recap", Response::Normal);
         }
-        let suspects = counting.judge(0).judgement.suspects;
-        expect_that!(suspects, all!(gt(20), lt(40)));
-        expect_that!(bound().is_doubted(suspects), eq(false));
+        let possibly_bad = fixture.evaluate(0).latency.possibly_bad;
+        expect_that!(possibly_bad, all!(gt(20), lt(40)));
+        expect_that!(bound().is_rollback_clock_running(possibly_bad), eq(false));
         for _ in 0..20 {
-            counting.count_both("recap", Answer::Slow);
+            fixture.record_both("recap", Response::Slow);
         }
-        let suspects = counting.judge(0).judgement.suspects;
-        expect_that!(bound().is_doubted(suspects), eq(true));
+        let possibly_bad = fixture.evaluate(0).latency.possibly_bad;
+        expect_that!(bound().is_rollback_clock_running(possibly_bad), eq(true));
     }
 
     version_that_fails_more_than_the_old_one_is_found => {
-        let mut counting = Counting::new("box");
-        for answer in 0..90 {
-            let fails = |one_in: usize| match answer % one_in {
-                0 => Answer::Failed,
-                _ => Answer::Whole,
+        let mut fixture = RolloutFixture::new("box");
+        for response in 0..90 {
+            let fails = |one_in: usize| match response % one_in {
+                0 => Response::Failed,
+                _ => Response::Normal,
             };
-            counting.count(false, "bookmark", fails(7));
-            counting.count(true, "bookmark", fails(2));
+            fixture.record(false, "bookmark", fails(7));
+            fixture.record(true, "bookmark", fails(2));
         }
-        expect_that!(counting.is_bad(), eq(true));
+        expect_that!(fixture.is_rejected(), eq(true));
     }
 
     what_was_seen_outlasts_the_boxes_that_counted_it => {
         // A sound version was taken back since boxes that were all killed judged it anew.
-        let mut counting = Counting::new("one life");
+        let mut fixture = RolloutFixture::new("one life");
         for _ in 0..60 {
-            counting.count_both("recap", Answer::Whole);
+            fixture.record_both("recap", Response::Normal);
         }
-        let before = counting.judge_by(Some(Seen::default()), 0);
-        expect_that!(before.evidence, ge(Evidence::Proves));
+        let before = fixture.evaluate_with(Some(StoredEvidence::default()), 0);
+        expect_that!(before.evidence, ge(EvidenceLevel::Sufficient));
         let first = record(RolloutState::Running, 100, 4 * SECOND);
-        let same_stage = Progress { verdict: before, ..progress(6, false) };
+        let same_stage = RolloutProgress { verdict: before, ..progress(6, false) };
         let written = next_record(&order(), Some(&first), same_stage).unwrap();
         let text = serde_json::to_string(&written).unwrap();
         println!("a record of {} bytes", text.len());
         let read: RolloutRecord = serde_json::from_str(&text).unwrap();
-        let mut counting = Counting::new("next life");
-        let after = counting.judge_by(Some(*read.seen), 0);
+        let mut fixture = RolloutFixture::new("next life");
+        let after = fixture.evaluate_with(Some(*read.seen), 0);
         expect_that!(after.evidence, eq(before.evidence));
-        expect_that!(after.at_stage, eq(before.at_stage));
-        expect_that!(after.judgement.answers, eq(60));
-        expect_that!(after.judgement.suspects, eq(before.judgement.suspects));
-        expect_that!(counting.judge(0).evidence, eq(Evidence::Wanting));
+        expect_that!(after.stage_evidence, eq(before.stage_evidence));
+        expect_that!(after.latency.responses, eq(60));
+        expect_that!(after.latency.possibly_bad, eq(before.latency.possibly_bad));
+        expect_that!(fixture.evaluate(0).evidence, eq(EvidenceLevel::Insufficient));
     }
 
     what_speaks_against_a_version_outlasts_the_boxes_that_counted_it => {
-        let mut counting = Counting::new("one life");
-        for answer in 0..18 {
-            let answer = if answer % 2 == 0 { Answer::Slow } else { Answer::Whole };
-            counting.count_both("recap", answer);
+        let mut fixture = RolloutFixture::new("one life");
+        for response in 0..18 {
+            let response = if response % 2 == 0 { Response::Slow } else { Response::Normal };
+            fixture.record_both("recap", response);
         }
-        let before = counting.judge_by(Some(Seen::default()), 0);
-        let after = Counting::new("next life").judge_by(Some(before.seen), 0);
-        expect_that!(before.judgement.against, gt(2.0));
-        expect_that!(after.judgement.against, near(before.judgement.against, 0.01));
+        let before = fixture.evaluate_with(Some(StoredEvidence::default()), 0);
+        let after = RolloutFixture::new("next life").evaluate_with(Some(before.stored_evidence), 0);
+        expect_that!(before.latency.max_cusum, gt(2.0));
+        expect_that!(after.latency.max_cusum, near(before.latency.max_cusum, 0.01));
     }
 
     what_a_box_counted_itself_is_not_counted_once_more_from_the_record => {
-        let mut counting = Counting::new("box");
+        let mut fixture = RolloutFixture::new("box");
         for _ in 0..60 {
-            counting.count_both("recap", Answer::Whole);
+            fixture.record_both("recap", Response::Normal);
         }
-        let seen = counting.judge_by(Some(Seen::default()), 0).seen;
-        expect_that!(counting.judge_by(Some(seen), 0).judgement.answers, eq(60));
+        let stored_evidence = fixture.evaluate_with(Some(StoredEvidence::default()), 0).stored_evidence;
+        expect_that!(fixture.evaluate_with(Some(stored_evidence), 0).latency.responses, eq(60));
     }
 
     stage_is_judged_by_its_own_answers_though_others_are_kept => {
-        let mut counting = Counting::new("box");
+        let mut fixture = RolloutFixture::new("box");
         for _ in 0..60 {
-            counting.count_both("recap", Answer::Whole);
+            fixture.record_both("recap", Response::Normal);
         }
-        let verdict = counting.judge_by(Some(Seen::default()), 0);
+        let verdict = fixture.evaluate_with(Some(StoredEvidence::default()), 0);
         let first = record(RolloutState::Running, 100, 4 * SECOND);
-        let moving = Progress { verdict, ..progress(13, true) };
+        let moving = RolloutProgress { verdict, ..progress(13, true) };
         let next = next_record(&order(), Some(&first), moving).unwrap();
         expect_that!(next.permille, gt(100));
-        let verdict = Counting::new("next life").judge_by(Some(*next.seen), 0);
-        expect_that!(verdict.at_stage, eq(Evidence::Wanting));
+        let verdict = RolloutFixture::new("next life").evaluate_with(Some(*next.seen), 0);
+        expect_that!(verdict.stage_evidence, eq(EvidenceLevel::Insufficient));
     }
 
     record_of_a_box_that_kept_nothing_is_read => {
         let text = r#"{"service":"engine","target":"v2","order_revision":10,"state":"Running",
             "permille":100,"elapsed_ms":1000,"rejected":[]}"#;
         let read: RolloutRecord = serde_json::from_str(text).unwrap();
-        expect_that!(*read.seen, eq(Seen::default()));
+        expect_that!(*read.seen, eq(StoredEvidence::default()));
     }
 
     last_step_needs_no_proof_of_its_own_where_the_operators_share_bears_it => {
         // Ten requests a second: the stage has too few answers for a proof, and all sessions for
         // the rest of the time are within what a bad version may have.
         let compared = record(RolloutState::Running, 400, 14 * SECOND);
-        let next = |all, at_stage| {
+        let next = |all, stage_evidence| {
             let mut late = progress(22, true);
-            late.verdict.evidence = Evidence::Proves;
-            late.verdict.at_stage = at_stage;
-            late.verdict.sent = Sent { new: all / 6, all, from: Some(Duration::ZERO) };
+            late.verdict.evidence = EvidenceLevel::Sufficient;
+            late.verdict.stage_evidence = stage_evidence;
+            late.verdict.requests = RequestCounts { new_version: all / 6, all, first_at: Some(Duration::ZERO) };
             next_record(&order(), Some(&compared), late).map_or(400, |next| next.permille)
         };
-        expect_that!(next(220, Evidence::Speaks), eq(1000));
-        expect_that!(next(220, Evidence::Triable), eq(400));
-        expect_that!(next(2200, Evidence::Speaks), eq(400));
+        expect_that!(next(220, EvidenceLevel::Favourable), eq(1000));
+        expect_that!(next(220, EvidenceLevel::Tentative), eq(400));
+        expect_that!(next(2200, EvidenceLevel::Favourable), eq(400));
     }
 
     finding_of_one_order_says_nothing_of_the_next => {
         // A version may be ordered anew once it is mended. Counts and findings went by its
         // name, so a roll-out that was ordered anew would have been taken back at once.
-        let mut counting = Counting::new("box");
+        let mut fixture = RolloutFixture::new("box");
         for _ in 0..50 {
-            counting.count(true, "recap", Answer::Failed);
+            fixture.record(true, "recap", Response::Failed);
         }
-        expect_that!(counting.is_bad(), eq(true));
+        expect_that!(fixture.is_rejected(), eq(true));
         let target = target();
-        let again = Question {
+        let again = RolloutStatus {
             order: 11,
             target: &target,
-            span: Span { elapsed: 6 * SECOND, duration: 24 * SECOND },
-            since: 0,
-            is_compared: false,
+            time: RolloutTime { elapsed: 6 * SECOND, duration: 24 * SECOND },
+            stage_window: 0,
+            is_past_first_stage: false,
             is_proved: false,
-            seen: None,
+            stored_evidence: None,
         };
-        counting.watch.judge(again, &bound(), at(0));
-        expect_that!(counting.watch.finding(11), none());
-        counting.watch.keep(|order| order == 11);
-        expect_that!(counting.watch.finding(10), none());
+        fixture.monitor.evaluate(again, &bound(), at(0));
+        expect_that!(fixture.monitor.rejection(11), none());
+        fixture.monitor.retain_orders(|order| order == 11);
+        expect_that!(fixture.monitor.rejection(10), none());
     }
 
     box_that_is_told_of_a_bad_version_sends_it_nothing => {
-        let mut watch = VersionWatch::new("box");
-        expect_that!(watch.take_finding(10), eq(true));
-        expect_that!(watch.take_finding(10), eq(false));
-        expect_that!(watch.finding(10), some(eq(&Finding::Told)));
+        let mut monitor = VersionMonitor::new("box");
+        expect_that!(monitor.accept_peer_rejection(10), eq(true));
+        expect_that!(monitor.accept_peer_rejection(10), eq(false));
+        expect_that!(monitor.rejection(10), some(eq(&RejectionReason::ReportedByPeer)));
         // What it was told it does not tell on: the box that found it tells everybody.
-        expect_that!(watch.found_here(), is_empty());
+        expect_that!(monitor.local_rejections(), is_empty());
     }
 
     boxes_name_the_sessions_that_the_first_stage_could_move => {
-        let mut sessions = Sessions::new(5 * SECOND);
+        let mut sessions = SessionVersions::new(5 * SECOND);
         for session in 0..1000 {
-            sessions.served(&session.to_string(), "v1", at(0));
+            sessions.record_version(&session.to_string(), "v1", at(0));
         }
-        let old = sessions.old_ones(&order(), at(1000));
+        let old = sessions.sessions_to_keep(&order(), at(1000));
         expect_that!(old.len(), all!(gt(60), lt(140)));
-        let mut other = Sessions::new(5 * SECOND);
-        other.keep_old(10, &old);
-        let moved = (0..1000).filter(|session| other.stays_old(&session.to_string(), 10));
+        let mut other = SessionVersions::new(5 * SECOND);
+        other.keep_on_old_version(10, &old);
+        let moved = (0..1000).filter(|session| other.stays_on_old_version(&session.to_string(), 10));
         expect_that!(moved.count(), eq(old.len()));
     }
 
     sessions_end => {
-        let mut sessions = Sessions::new(5 * SECOND);
-        sessions.served("s", "v1", at(0));
-        expect_that!(sessions.version("s", at(4000)), some(eq("v1")));
-        expect_that!(sessions.version("s", at(6000)), none());
+        let mut sessions = SessionVersions::new(5 * SECOND);
+        sessions.record_version("s", "v1", at(0));
+        expect_that!(sessions.current_version("s", at(4000)), some(eq("v1")));
+        expect_that!(sessions.current_version("s", at(6000)), none());
     }
 }
