--- a/src/gateway/versions.rs
+++ b/src/gateway/versions.rs
@@ -1,4 +1,5 @@
-//! Roll-outs of versions, and which version serves which session.
+//! Version rollouts: which version serves a session, and whether a new version is good enough to
+//! serve more sessions.
 
 pub mod exposure;
 pub mod histogram;
--- a/src/gateway/versions/latency_evidence.rs
+++ b/src/gateway/versions/latency_evidence.rs
@@ -1,11 +1,11 @@
-//! Whether a new version answers as the old one does beside it.
+//! Compares the response times of a new version with those of the old version beside it.
 //!
-//! Each answer of the new version is ranked among those of the old one that were sent in the
-//! same stretch of time, on the same route. Ranks need no figure of what is usual: a crowd, a
-//! busy machine or a slow hall moves both versions alike. The ranks are added up as the
-//! logarithm of how much likelier they are under "a part of its answers is among the slowest"
-//! than under "as the old ones". See `docs/design/exposure.md` and, for the figures,
-//! `docs/measurements/versions.md`.
+//! Each response of the new version is ranked among the old version's responses that were sent in
+//! the same time window on the same route. Ranks need no reference value: peak load, a busy machine
+//! or a slow hall affects both versions alike. The ranks are added up as log-likelihood ratios
+//! (LLR) of "a fraction of its responses is among the slowest" to "its responses are distributed as
+//! the old ones", so a positive sum is evidence against the version. See `docs/design/exposure.md`
+//! and, for the figures, `docs/measurements/versions.md`.
 
 use super::histogram::buckets_in;
 use super::statistics::{
@@ -15,17 +15,18 @@
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 
-/// What a bad version is taken to do.
+/// A model of a degraded version.
 #[derive(Debug, Clone, Copy)]
 struct DegradationModel {
-    /// The part of its answers that it slows.
+    /// The fraction of the responses that it slows.
     slowed_fraction: f64,
-    /// How sharply slowed answers gather at the slowest ranks: as the slowest of so many.
+    /// How strongly slowed responses concentrate at the highest ranks: each is distributed as the
+    /// slowest of this many responses.
     tail_sharpness: f64,
 }
 
-/// The bad versions that are told from sound ones: the first is the more likely one, the second
-/// slows so few answers that only the very slowest ranks show it, and takes more answers.
+/// The degraded versions to tell from good ones. The first is the more likely one. The second slows
+/// so few responses that only the very highest ranks show it, and takes more responses to detect.
 const DEGRADATION_MODELS: [DegradationModel; 2] = [
     DegradationModel {
         slowed_fraction: 0.2,
@@ -36,66 +37,72 @@
         tail_sharpness: 40.0,
     },
 ];
-/// A bad version of which most answers are among the slower half. Engines batch, so one that slows
-/// a few answers slows those beside them a little, and few of its paces are among the fastest. It is
-/// asked of paces and of plain answers; the heads of sound new engines come late while they have
-/// kept no prompts.
+/// A degraded version of which most responses are in the slower half. Engines batch, so one that
+/// slows a few responses slightly slows those beside them, and few of its event intervals are among
+/// the fastest. This model applies to event intervals and plain responses only: heads from good new
+/// engines are late as long as their prompt caches are empty.
 const MAJORITY_SLOWED: DegradationModel = DegradationModel {
     slowed_fraction: 1.0,
     tail_sharpness: 2.0,
 };
-/// The logarithm of the odds of that at which it is not likely, and at which that is beyond doubt.
+/// The maximum LLR of [`MAJORITY_SLOWED`] for [`EvidenceLevel::Sufficient`].
 const SUFFICIENT_MAX_MAJORITY_LLR: f64 = 0.0;
+/// The same for [`EvidenceLevel::Conclusive`].
 const CONCLUSIVE_MAX_MAJORITY_LLR: f64 = -8.0;
-/// How many times slower than an old answer a new one may be: a step of a third covers engines
-/// that have kept no prompts yet, and a sum over answers tells nothing smaller.
+/// The factor by which a new response may be slower than an old one. A third covers engines with
+/// empty prompt caches, and a sum over responses detects nothing smaller.
 const SLOWDOWN_MARGIN: f64 = 1.3;
-/// The same where the old version serves too few to compare with, so that its answers of the
-/// time when it bore the load stand for it: the load has changed since, and what is left to find
-/// is a version that turns bad late.
+/// The same where the old version serves too few requests for a comparison and is represented by
+/// its responses from the time when it had the load. The load has changed since, and all that is
+/// left to detect is a version that degrades late.
 const LATE_SLOWDOWN_MARGIN: f64 = 2.0;
-/// How many old answers for each new one make a stretch a fair comparison.
+/// The number of old responses for each new one that makes the comparison within a window fair.
 const MIN_OLD_PER_NEW_RESPONSE: f64 = 0.5;
 
-/// The logarithm of the odds from which a version is bad: out of the reach of a sound one in the
-/// second in which half of the sessions move to it.
+/// The LLR from which a version is slow. A good version does not reach it in the second in which
+/// half of the sessions move to it.
 const SLOW_MIN_LLR: f64 = 10.0;
-/// The logarithm of the odds at which a version is none of the bad ones, all measures together:
-/// some twenty answers that rank as the old ones do, for each of them.
+/// The maximum LLR of each model, all metrics together, for [`EvidenceLevel::Sufficient`]: some
+/// twenty responses that rank like the old ones reach it.
 const SUFFICIENT_MAX_LLRS: [f64; DEGRADATION_MODELS.len()] = [-4.0, -2.0];
-/// The same where more answers would change nothing: by the odds of the weaker kind a bad version
-/// passes [`GOOD_FROM`] by chance once in seven times, this once in a hundred and fifty.
+/// The same for [`EvidenceLevel::Conclusive`]. By the LLR of the weaker model, a bad version passes
+/// [`SUFFICIENT_MAX_LLRS`] by chance once in 7 times, this one once in 150.
 const CONCLUSIVE_MAX_LLRS: [f64; DEGRADATION_MODELS.len()] = [-10.0, -5.0];
-/// The same for a stage that is judged anew, where a service gets ten requests a second and its
-/// new version twelve in all.
+/// The same for [`EvidenceLevel::Favourable`], by the more likely model. A stage that is evaluated
+/// by itself can reach it where a service gets ten requests a second and its new version twelve in
+/// all.
 const FAVOURABLE_MAX_LLR: f64 = -3.0;
-/// The odds of the more likely bad version with which a version may be tried under load: fewer
-/// than [`SPEAKS_FROM`] asks, since the operators' bounds bear that stage without a proof, and
-/// answers of which only the heads are timed may never give one.
+/// The same for [`EvidenceLevel::Tentative`]. It asks for less than [`FAVOURABLE_MAX_LLR`], since
+/// the operators' limits permit a stage under load without a proof, and responses of which only the
+/// heads are timed may never give one.
 const TENTATIVE_MAX_LLR: f64 = -1.0;
-/// The same once so many answers were counted, of which a version that slows four in ten
-/// eightfold gives odds of e^8.
+/// The same once this many responses were counted: a version that slows four responses in ten
+/// eightfold has an LLR of 8 by then.
 const TENTATIVE_RESPONSES: u32 = 16;
+/// See [`TENTATIVE_RESPONSES`].
 const TENTATIVE_MAX_LLR_WITH_RESPONSES: f64 = 1.0;
-/// The rank from which an answer may be a slowed one; few that are slowed twofold rank lower.
+/// The rank from which a response counts as possibly bad; few responses that are slowed twofold
+/// rank lower.
 const POSSIBLY_BAD_MIN_RANK: f64 = 0.5;
-/// The same that a single measure has to say for it, if it has so many answers: where the new
-/// engines bear a little less than the old ones, a version that is twice as slow looks fast by
-/// one measure alone.
+/// The maximum LLR of the more likely model by each single metric, if it has enough responses.
+/// Where new engines bear slightly less load than the old ones, a version that is twice as slow
+/// looks fast by one metric alone.
 const METRIC_SUPPORT_MAX_LLR: f64 = -1.0;
+/// A single metric with fewer responses is not required to support the version.
 const METRIC_MIN_RESPONSES: u32 = 8;
-/// What a single measure may say against a version that is taken for good.
+/// The LLR by any single metric and model from which the evidence is
+/// [`EvidenceLevel::Insufficient`].
 const METRIC_OBJECTION_MIN_LLR: f64 = 2.0;
 
-/// Log odds of each kind of bad version.
+/// LLR by degradation model.
 type RatiosByModel = [f64; DEGRADATION_MODELS.len()];
 
-/// What answers of one measure say.
+/// The evidence from the responses of one metric.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 struct MetricRatios {
     #[serde(rename = "odds")]
     by_model: RatiosByModel,
-    /// Those of [`SLOWS_MOST`].
+    /// The LLR of [`MAJORITY_SLOWED`].
     #[serde(rename = "most")]
     majority_slowed: f64,
     #[serde(rename = "answers")]
@@ -111,7 +118,7 @@
         self.responses += other.responses;
     }
 
-    /// Returns the sum in hundredths, which take little room where it is written down.
+    /// Returns the ratios in hundredths, which take little space in the store.
     fn rounded(self) -> Self {
         let round = |ratio: f64| (ratio * 100.0).round() / 100.0;
         Self {
@@ -121,18 +128,18 @@
         }
     }
 
-    /// Tells whether the measure speaks for the version, or has too few answers to speak.
+    /// Returns whether the metric supports the version, or has too few responses.
     fn supports_version(&self) -> bool {
         self.responses < METRIC_MIN_RESPONSES || self.by_model[0] <= METRIC_SUPPORT_MAX_LLR
     }
 
-    /// Tells whether most answers are not slowed, or too few say so.
+    /// Returns whether the metric contradicts [`MAJORITY_SLOWED`], or has too few responses.
     fn rules_out_majority_slowed(&self, max_ratio: f64) -> bool {
         self.responses < METRIC_MIN_RESPONSES || self.majority_slowed <= max_ratio
     }
 }
 
-/// Sums of log odds, by what was timed.
+/// Sums of log-likelihood ratios by metric.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct LogRatios {
     #[serde(rename = "head")]
@@ -173,8 +180,8 @@
         }
     }
 
-    /// Adds the odds of one more stretch to a running sum, which is never below zero, so that a
-    /// good past does not hide a change.
+    /// Adds the ratios of one more window to a cumulative sum (CUSUM) that never falls below zero,
+    /// so that good earlier responses do not hide a change.
     fn add_to_cusum(&mut self, window: Self) {
         self.add(window);
         for sum in [
@@ -194,13 +201,13 @@
         }
     }
 
-    /// Returns what speaks most against the version.
+    /// Returns the strongest evidence against the version.
     fn max(&self) -> f64 {
         let ratios = self.by_metric().into_iter().flat_map(|sum| sum.by_model);
         ratios.fold(f64::NEG_INFINITY, f64::max)
     }
 
-    /// Returns what the odds of so many answers say of the version.
+    /// Returns the level of evidence that these ratios of a number of responses give.
     fn level(&self, responses: u32) -> EvidenceLevel {
         let rules_out_all = |max_ratios: RatiosByModel, max_majority_ratio: f64| {
             let models = max_ratios.iter().enumerate();
@@ -237,83 +244,84 @@
     }
 }
 
-/// How far what was counted allows to go on with a version, the weakest first.
+/// How strong the evidence for a version is, weakest first.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EvidenceLevel {
-    /// Too little is known, or something speaks against it.
+    /// Too little is known, or something indicates that the version is bad.
     #[default]
     Insufficient,
-    /// Nothing speaks against it, so that it may be tried under load.
+    /// Nothing indicates that the version is bad; it may be tried under load.
     Tentative,
-    /// It is not likely to be bad.
+    /// The version is unlikely to be bad.
     Favourable,
-    /// It is none of the bad versions.
+    /// The evidence rules out all models of bad versions.
     Sufficient,
-    /// The same, and no more answers are needed to say so.
+    /// The same, and more responses would not add to it.
     Conclusive,
 }
 
-/// What the counts say of a version.
+/// The evidence from a version's response times.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LatencyEvidence {
-    /// The strongest that any run of stretches up to the newest says against the version.
+    /// The maximum of the cumulative sums over metrics and models up to the newest window: evidence
+    /// that the version is or has become slow.
     pub max_cusum: f64,
-    /// What all stretches say.
+    /// The evidence of all windows.
     pub all_windows: LogRatios,
-    /// What the stretches from a certain one on say.
+    /// The evidence of the windows of the current stage.
     pub current_stage: LogRatios,
-    /// The new version's answers that have begun to come or failed.
+    /// The new version's responses that have begun to arrive or failed.
     pub responses: u32,
-    /// Those of which nothing has come yet.
+    /// Its requests to which no response has begun to arrive.
     pub in_flight: u32,
-    /// Those that may be bad, by the measure by which most may be: all that failed, those in
-    /// the slower half of the old version's, and those that nothing can be compared with.
+    /// Its possibly bad responses, by the metric that has the most: all failed ones, those in the
+    /// slower half of the old version's responses, and those without responses to compare with.
     pub possibly_bad: u32,
 }
 
 impl LatencyEvidence {
-    /// Tells whether the version is slow beyond doubt.
+    /// Returns whether the version is certainly slow.
     pub fn is_slow(&self) -> bool {
         self.max_cusum >= SLOW_MIN_LLR
     }
 
-    /// Returns how far all answers allow to go on.
+    /// Returns the level of evidence by all responses.
     pub fn level(&self) -> EvidenceLevel {
         self.all_windows.level(self.responses)
     }
 
-    /// Returns how far the answers of the present stage allow to go on.
+    /// Returns the level of evidence by the responses of the current stage.
     pub fn stage_level(&self) -> EvidenceLevel {
         self.current_stage.level(0)
     }
 }
 
-/// What the stretches before a certain one say, in a form that outlasts the boxes that counted
-/// their answers.
+/// The evidence of all windows before a certain one. It is kept in the store and outlasts the boxes
+/// that counted the responses.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct LatencySummary {
-    /// The first stretch that is not part of it.
+    /// The first window that is not included.
     #[serde(rename = "until")]
     pub end_window: u16,
-    /// The new version's answers.
+    /// The new version's responses.
     #[serde(rename = "answers")]
     pub responses: u32,
-    /// Those that may be bad.
+    /// Its possibly bad responses.
     #[serde(rename = "suspects")]
     pub possibly_bad: u32,
-    /// What all say.
+    /// The evidence of all included windows.
     #[serde(rename = "all")]
     pub all_windows: LogRatios,
-    /// What those of the present stage say.
+    /// The evidence of the current stage.
     #[serde(rename = "since")]
     pub current_stage: LogRatios,
-    /// What the run of stretches up to the last says against the version.
+    /// The cumulative sum up to the last included window, see [`LatencyEvidence::max_cusum`].
     #[serde(rename = "running")]
     pub cusum: LogRatios,
 }
 
 impl LatencySummary {
-    /// Returns the summary for a stage that begins after its last stretch.
+    /// Returns the summary for a stage that begins after the last included window.
     pub fn at_next_stage(self) -> Self {
         Self {
             current_stage: LogRatios::default(),
@@ -322,7 +330,7 @@
     }
 }
 
-/// What the answers of one stretch say.
+/// The evidence of one window.
 #[derive(Debug, Default)]
 struct WindowEvidence {
     ratios: LogRatios,
@@ -331,9 +339,9 @@
     possibly_bad: BTreeMap<LatencyMetric, u32>,
 }
 
-/// Judges a version by the counts of all boxes, and by a summary of what they do not hold.
+/// Evaluates a version by the statistics of all boxes and a summary of earlier windows.
 ///
-/// `since` is the stretch from which on [`Judgement::since`] goes.
+/// `stage_window` is the first window of [`LatencyEvidence::current_stage`].
 pub fn evaluate_latency(
     statistics: &RolloutStatistics,
     stored: LatencySummary,
@@ -342,7 +350,7 @@
     summarise(statistics, stored, stage_window).1
 }
 
-/// Sums up all that was counted, which is of stretches before `until`, and an earlier summary.
+/// Combines statistics, which are of windows before `end_window`, with an earlier summary.
 pub fn summarise_until(
     end_window: u16,
     statistics: &RolloutStatistics,
@@ -411,21 +419,21 @@
     windows
 }
 
-/// Collects the old version's answers of the stretches in which it bore most of the load.
+/// Collects the old version's responses from the windows in which it had most of the load.
 fn old_responses_under_load(
     statistics: &RolloutStatistics,
 ) -> HashMap<ResponseKind<'_>, ResponseStatistics> {
-    let mut found: HashMap<ResponseKind<'_>, ResponseStatistics> = HashMap::new();
+    let mut responses: HashMap<ResponseKind<'_>, ResponseStatistics> = HashMap::new();
     for (group, pair) in &statistics.groups {
         if pair.old.timed() >= pair.new.timed() {
-            found.entry(group.kind()).or_default().merge(&pair.old);
+            responses.entry(group.kind()).or_default().merge(&pair.old);
         }
     }
-    found
+    responses
 }
 
-/// Returns how many of the new version's answers may be bad, those under way as far as they
-/// have taken long enough.
+/// Counts the new version's possibly bad responses; those in flight count once they have taken long
+/// enough.
 fn count_possibly_bad(new: &ResponseStatistics, comparison: Option<&Comparison>) -> u32 {
     let slow: u32 = match comparison {
         Some(comparison) => {
@@ -439,12 +447,13 @@
     slow + new.failed
 }
 
-/// What the new version's answers of a group are compared with.
+/// The old version's responses that a group of new ones is compared with.
 struct Comparison {
     ranks: OldVersionRanks,
-    /// The steps by which they may be slower.
+    /// The number of histogram buckets by which new responses may be slower.
     margin_buckets: i16,
-    /// Many answers that are compared with few others tell less than their number.
+    /// The weight of each new response: many responses that are compared with few carry less
+    /// information than their number suggests.
     weight: f64,
 }
 
@@ -477,8 +486,7 @@
         }
     }
 
-    /// Returns the odds of one kind of bad version against a sound one that is slower by a margin
-    /// at the most.
+    /// Returns the LLR of a model against a good version that is slower by the margin at most.
     fn log_ratio(
         &self,
         new: &ResponseStatistics,
@@ -497,13 +505,14 @@
     }
 }
 
-/// The part of the old version's answers that take less than a time, by its step.
+/// The distribution of the old version's response times.
 ///
-/// Answers under way count among those that take longer for as long as they have been seen to
-/// (the product-limit estimate): in a stretch that has just begun only the fastest have come.
+/// Responses in flight count as longer ones up to the time that they have taken so far (the
+/// product-limit estimate), since in a window that has just begun only the fastest responses have
+/// completed.
 struct OldVersionRanks {
     total_compared: f64,
-    /// Each step at which answers came, and the part that takes longer.
+    /// Each bucket with completed responses, and the fraction of responses that take longer.
     survival: Vec<(i16, f64)>,
 }
 
@@ -530,8 +539,8 @@
         }
     }
 
-    /// Returns where a step stands among them, from 0 to 1 and neither of both: those of the
-    /// same step are taken to be half shorter.
+    /// Returns the rank of a bucket, strictly between 0 and 1. Half of the responses in the same
+    /// bucket are taken to be shorter.
     fn rank(&self, bucket: i16) -> f64 {
         let at = self.survival.partition_point(|(other, _)| *other < bucket);
         let before = match at {
@@ -547,14 +556,15 @@
 }
 
 impl DegradationModel {
-    /// Returns the logarithm of how much likelier a rank from 0 to 1 is than for a sound version.
+    /// Returns the log-likelihood ratio of a rank between 0 and 1 under this model and a good
+    /// version.
     fn log_ratio(self, rank: f64) -> f64 {
         let slowed_density = self.tail_sharpness * rank.powf(self.tail_sharpness - 1.0);
         (1.0 - self.slowed_fraction + self.slowed_fraction * slowed_density).ln()
     }
 
-    /// Returns the same for an answer under way, whose rank is known to be at least so high: one
-    /// that has just begun says nothing.
+    /// Returns the same for a response in flight, which has at least this rank. A response that has
+    /// just begun carries no evidence.
     fn log_ratio_at_least(self, least: f64) -> f64 {
         let sound = (1.0 - self.slowed_fraction) * least;
         let slowed = self.slowed_fraction * least.powf(self.tail_sharpness);
--- a/src/gateway/versions/local_statistics.rs
+++ b/src/gateway/versions/local_statistics.rs
@@ -1,7 +1,7 @@
-//! What a box counts of the versions of a service under roll-out.
+//! The statistics that a box collects on the versions of a service under rollout.
 //!
-//! What is still under way is counted as such: the answers of a slow version are the last ones
-//! to come.
+//! Responses in flight count as well, since the responses of a slow version are the last to
+//! complete.
 
 use super::statistics::{
     ResponseGroup, ResponseKind, ResponseStatistics, RolloutStatistics, SampledRequest,
@@ -14,21 +14,21 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The stretches of a roll-out's time: long enough for answers to compare, short enough that load
-/// and trouble are much the same throughout.
+/// The number of time windows in a rollout. A window is long enough for a comparison of its
+/// responses and short enough that load and disturbances hardly change within it.
 const WINDOWS_PER_ROLLOUT: u32 = 24;
-/// The longest of them. A stage is judged from the stretch after its beginning on, and has some
-/// four seconds to prove itself, however long the whole roll-out takes.
+/// The maximum length of a window. A stage is evaluated from the first window after its start and
+/// has about four seconds for its proof, however long the rollout is.
 const MAX_WINDOW_DURATION: Duration = Duration::from_secs(1);
 
-/// One box's own counts of one roll-out, and its answers under way.
+/// One box's statistics of one rollout, and its responses in flight.
 #[derive(Debug, Default)]
 struct OrderStatistics {
     statistics: RolloutStatistics,
     in_flight: HashMap<u64, InFlightResponse>,
 }
 
-/// An answer under way.
+/// A response in flight.
 #[derive(Debug)]
 struct InFlightResponse {
     group: ResponseGroup,
@@ -38,7 +38,7 @@
 }
 
 impl OrderStatistics {
-    /// Returns the counts with how long the answers under way have taken so far.
+    /// Returns the statistics, with the times that the responses in flight have taken so far.
     fn at(&self, now: Now) -> RolloutStatistics {
         let mut statistics = self.statistics.clone();
         for in_flight in self.in_flight.values() {
@@ -58,7 +58,7 @@
     }
 }
 
-/// A box's own counts, shared with the answers that are under way.
+/// The box's own statistics, shared with the timers of the responses in flight.
 #[derive(Debug, Clone, Default)]
 pub struct LocalStatistics(Rc<RefCell<StatisticsByOrder>>);
 
@@ -69,14 +69,14 @@
 }
 
 impl LocalStatistics {
-    /// Counts a request that is sent.
+    /// Counts a request that is being sent.
     pub fn record_request(&self, request: SampledRequest) {
         let mut orders = self.0.borrow_mut();
         let order_statistics = orders.by_order.entry(request.order).or_default();
         order_statistics.statistics.requests.record(request);
     }
 
-    /// Begins to time an answer; `unit` is what its measure counts in, in seconds.
+    /// Starts to time a response. Its time is recorded in multiples of `unit_seconds`.
     pub fn start_timer(
         &self,
         request: SampledRequest,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Forgets all orders but those in force.
+    /// Drops the statistics of inactive orders.
     pub fn retain_orders(&self, is_active: impl Fn(u64) -> bool) {
         let mut orders = self.0.borrow_mut();
         orders.by_order.retain(|order, _| is_active(*order));
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Returns what was counted of an order.
+    /// Returns the statistics of an order.
     pub fn statistics(&self, order: u64, now: Now) -> RolloutStatistics {
         let orders = self.0.borrow();
         let order_statistics = orders.by_order.get(&order);
@@ -124,7 +124,7 @@
         })
     }
 
-    /// Returns what other boxes are to be told.
+    /// Returns the reports to send to other boxes.
     pub fn reports(&self, reporter: &str, sequence: u64, now: Now) -> Vec<StatisticsReport> {
         let orders = self.0.borrow();
         let report = |(order, order_statistics): (&u64, &OrderStatistics)| {
@@ -141,8 +141,8 @@
     }
 }
 
-/// An answer under way. One that is dropped without a time says nothing: its caller has left,
-/// or it broke off, which is no fault of the version.
+/// The timer of a response in flight. Dropping it records nothing: the caller has left or the
+/// response broke off, neither of which counts against the version.
 #[derive(Debug)]
 #[must_use]
 pub struct ResponseTimer {
@@ -152,7 +152,7 @@
 }
 
 impl ResponseTimer {
-    /// Records that the answer has come.
+    /// Records that the response has arrived.
     pub fn record_completion(self, now: Now) {
         self.end(|responses, in_flight| {
             let duration = now
@@ -165,17 +165,18 @@
         });
     }
 
-    /// Records the answer's time, in the unit of its measure.
+    /// Records the response's time, in the unit of its metric.
     pub fn record_duration(self, time: f64) {
         self.end(|responses, _in_flight| responses.completed.record(time));
     }
 
-    /// Records that the upstream failed to give the answer.
+    /// Records that the upstream failed to respond.
     pub fn record_failure(self) {
         self.end(|responses, _in_flight| responses.failed += 1);
     }
 
-    /// Ends the answer, if its order is still in force.
+    /// Removes the response from those in flight and records its result, if its order is still
+    /// active.
     fn end(&self, count: impl FnOnce(&mut ResponseStatistics, &InFlightResponse)) {
         let mut orders = self.local.0.borrow_mut();
         let Some(order_statistics) = orders.by_order.get_mut(&self.order) else {
@@ -199,16 +200,16 @@
     }
 }
 
-/// Returns the stretch of a roll-out's time, the last one from its end on.
+/// Returns the index of the time window; times after the end fall into the last window.
 pub fn window_at(elapsed: Duration, duration: Duration) -> u16 {
     let length = (duration / WINDOWS_PER_ROLLOUT).min(MAX_WINDOW_DURATION);
     let seconds = length.as_secs_f64().max(f64::MIN_POSITIVE);
-    // A roll-out of more than 65,535 seconds ends in one long stretch.
+    // The index saturates in rollouts of more than 65,535 seconds, which end in one long window.
     (elapsed.min(duration).as_secs_f64() / seconds) as u16
 }
 
-/// Returns where a request to a version stands in a service's roll-out; none if there is none
-/// under way.
+/// Classifies a request to a version for the statistics of a rollout; `None` if the rollout is not
+/// running or its time is over.
 pub fn sampled_request(rollout: &Rollout, version: &str, now: Now) -> Option<SampledRequest> {
     let (order, _) = rollout.order.as_ref()?;
     let elapsed = rollout.elapsed(now)?;
--- a/src/gateway/versions/monitor.rs
+++ b/src/gateway/versions/monitor.rs
@@ -1,7 +1,7 @@
-//! Whether a version under roll-out is bad, good, or not known yet.
+//! Evaluates whether a version under rollout is good, bad or not known yet.
 //!
-//! Every box counts how both versions answer and tells some others, who judge the counts of
-//! all boxes. A box that finds a version bad tells every other one. See
+//! Every box collects statistics on both versions and reports them to some other boxes, which
+//! evaluate the statistics of all boxes. A box that rejects a version notifies all others. See
 //! `docs/design/exposure.md`.
 
 use super::exposure::{ExposureBound, RolloutTime};
@@ -20,9 +20,9 @@
 /// Stands for all routes together where routes are tested one by one.
 const ALL_ROUTES: &str = "(all routes)";
 
-/// What the guard tolerates of a new version's failures: a few in a hundred, as crashed and
-/// failing upstreams cause them, while bad versions fail a third of their requests or more. A
-/// false alarm once in some ten thousand answers takes a good version back.
+/// The failure rates that the guard tolerates from a new version: a few per cent, as crashed and
+/// failing upstreams cause them, while bad versions fail a third of their requests or more. A false
+/// alarm, once in some ten thousand responses, reverts a good version.
 const FAILURE_GUARD: GuardPolicy = GuardPolicy {
     tolerated_bad: 0.05,
     tolerated_failed: 0.05,
@@ -31,38 +31,41 @@
     answers_to_false_alarm: 3e4,
 };
 
-/// Imagined answers that keep a few answers of the old versions from telling what is usual.
+/// The weight, in responses, of the tolerated failure rate in the estimate of the old version's
+/// failure rate, so that a few responses alone do not determine it.
 const PRIOR_RESPONSES: f64 = 20.0;
 
-/// The part of its answers that a bad version fails beyond what the old one does, at the least;
-/// the guard bears so few.
+/// The smallest increase of the failure rate that makes a version bad. The failure guard tolerates
+/// so few failures.
 const BAD_EXTRA_FAILURE_RATE: f64 = 0.08;
-/// How often an old version is taken to fail at the least, so that a failure or two of the new
-/// one say little.
+/// The lower limit for the old version's failure rate, so that one or two failures of the new
+/// version carry little weight.
 const MIN_OLD_FAILURE_RATE: f64 = 0.01;
-/// The logarithm of the odds of such a version at which a new one fails as seldom as the old one,
-/// some 24 answers without a failure; and at which it is not likely to fail more often.
+/// The LLR of such an increase at which the evidence from failures is
+/// [`EvidenceLevel::Conclusive`]: some 24 responses without a failure.
 const CONCLUSIVE_MAX_FAILURE_LLR: f64 = -2.0;
+/// The same for [`EvidenceLevel::Favourable`].
 const FAVOURABLE_MAX_FAILURE_LLR: f64 = 1.0;
 
-/// Why a version serves nobody any more.
+/// Why a version no longer serves requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RejectionReason {
-    /// It fails more often than the versions before it.
+    /// It fails more often than the previous versions.
     FailureRate {
-        /// The route on which it does.
+        /// The route on which it fails.
         route: String,
-        /// Its answers there, and those that failed.
+        /// Its responses on that route, and those that failed.
         counts: Counts,
     },
-    /// It is slower than the version before it.
+    /// It is slower than the previous version.
     Slow,
-    /// It had all that the operators allow a bad version, and nothing proves that it is good.
+    /// It has used up the exposure that operators allow a bad version, without a proof that it is
+    /// good.
     ExposureExhausted,
-    /// It has given so many answers, for so long without a proof, that a bad one would have to
+    /// It has given so many responses for so long without a proof that, if bad, it would have to
     /// have been stopped by now.
     UnprovenTooLong,
-    /// Another box says so.
+    /// Another box rejected it.
     ReportedByPeer,
 }
 
@@ -71,70 +74,71 @@
         match self {
             Self::FailureRate { route, counts } => write!(
                 f,
-                "{} of {} answers failed on {route}",
+                "{} of {} responses failed on {route}",
                 counts.failed, counts.served
             ),
-            Self::Slow => f.write_str("its answers rank among the slowest"),
+            Self::Slow => f.write_str("its responses rank among the slowest"),
             Self::ExposureExhausted => {
-                f.write_str("its share is spent without a proof that it is good")
+                f.write_str("its exposure limit is used up without a proof that it is good")
             }
             Self::UnprovenTooLong => {
-                f.write_str("too many answers for too long without a proof that it is good")
+                f.write_str("too many responses for too long without a proof that it is good")
             }
-            Self::ReportedByPeer => f.write_str("another box found it bad"),
+            Self::ReportedByPeer => f.write_str("another box rejected it"),
         }
     }
 }
 
-/// A roll-out, as it is asked about.
+/// The state of a rollout for an evaluation.
 #[derive(Debug, Clone, Copy)]
 pub struct RolloutStatus<'a> {
     /// The order's revision in the store.
     pub order: u64,
-    /// The version that is brought in.
+    /// The version that is rolled out.
     pub target: &'a VersionName,
-    /// How far its time has gone.
+    /// The position in the time of the rollout.
     pub time: RolloutTime,
-    /// The stretch from which on the present stage has been in force everywhere.
+    /// The first window in which the current stage applies on all boxes.
     pub stage_window: u16,
-    /// Whether the version has left its first stage, so that it is compared under load.
+    /// Whether the rollout has left its first stage, so that both versions are compared under load.
     pub is_past_first_stage: bool,
-    /// Whether the version has all sessions, which takes a proof.
+    /// Whether the version serves all sessions, which requires a proof.
     pub is_proved: bool,
-    /// What the record says was seen before; none where it is not this box that goes by it.
+    /// The evidence in the rollout record; `None` on boxes that do not use it.
     pub stored_evidence: Option<StoredEvidence>,
 }
 
-/// What is known of a version.
+/// The result of an evaluation.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Verdict {
-    /// What the counts say.
+    /// The evidence from response times.
     pub latency: LatencyEvidence,
-    /// How far they allow to go on with it.
+    /// The level of evidence by all responses.
     pub evidence: EvidenceLevel,
-    /// How far those of the present stage do.
+    /// The level of evidence by the responses of the current stage.
     pub stage_evidence: EvidenceLevel,
     /// The requests since the order.
     pub requests: RequestCounts,
-    /// What was seen so far, for the record.
+    /// The evidence up to now, to be written to the rollout record.
     pub stored_evidence: StoredEvidence,
 }
 
-/// What another box has told of a roll-out.
+/// The statistics that another box reported.
 #[derive(Debug, Default)]
 struct PeerStatistics {
-    /// The number of its newest report.
+    /// The sequence number of its newest report.
     newest_report: u64,
     statistics: RolloutStatistics,
 }
 
-/// What a box has seen of the versions under roll-out, its own counts and others'.
+/// The statistics of this box and of others on the versions under rollout, and the versions that
+/// were rejected.
 #[derive(Debug)]
 pub struct VersionMonitor {
     reporter: String,
     report_count: u64,
     local: LocalStatistics,
-    /// What other boxes told, by the order and by their names.
+    /// The statistics of other boxes, by order and reporter.
     peers: HashMap<u64, HashMap<String, PeerStatistics>>,
     failure_guard: Guard,
     unproven_since: HashMap<u64, Duration>,
@@ -142,7 +146,7 @@
 }
 
 impl VersionMonitor {
-    /// Makes a watch whose counts go by a reporter's name, one for each life of a box.
+    /// Creates a monitor. The reporter's name is different after each start of the box.
     pub fn new(reporter: &str) -> Self {
         Self {
             reporter: reporter.to_owned(),
@@ -155,18 +159,18 @@
         }
     }
 
-    /// Returns this box's own counts, to count on.
+    /// Returns this box's own statistics, in which requests are recorded.
     pub fn local_statistics(&self) -> &LocalStatistics {
         &self.local
     }
 
-    /// Returns this box's own counts, for other boxes.
+    /// Returns the reports to send to other boxes.
     pub fn reports(&mut self, now: Now) -> Vec<StatisticsReport> {
         self.report_count += 1;
         self.local.reports(&self.reporter, self.report_count, now)
     }
 
-    /// Takes another box's counts.
+    /// Records the statistics of another box, unless a newer report has arrived.
     pub fn accept_report(&mut self, report: StatisticsReport) {
         let reporters = self.peers.entry(report.order).or_default();
         let known = reporters.entry(report.reporter.clone()).or_default();
@@ -176,7 +180,7 @@
         }
     }
 
-    /// Returns the counts of all boxes, as far as this one was told.
+    /// Returns the combined statistics of this box and of those that reported to it.
     pub fn statistics(&self, order: u64, now: Now) -> RolloutStatistics {
         let mut all = self.local.statistics(order, now);
         let peers = self.peers.get(&order).into_iter().flatten();
@@ -186,8 +190,8 @@
         all
     }
 
-    /// Forgets all orders but those in force. An order is never given twice, so what was found
-    /// of one says nothing of the next, though it names the same version.
+    /// Drops inactive orders. An order is never repeated, so the results of one do not apply to the
+    /// next, even if it names the same version.
     pub fn retain_orders(&mut self, is_active: impl Fn(u64) -> bool) {
         self.local.retain_orders(&is_active);
         self.peers.retain(|order, _| is_active(*order));
@@ -195,13 +199,14 @@
         self.rejections.retain(|order, _| is_active(*order));
     }
 
-    /// Returns why the target of an order was found bad, if it was; it stays so for this life.
+    /// Returns why the target of an order was rejected. A rejection stays until the box restarts or
+    /// the order is dropped.
     pub fn rejection(&self, order: u64) -> Option<&RejectionReason> {
         self.rejections.get(&order)
     }
 
-    /// Returns the orders whose targets this box found bad by itself, which others have to be
-    /// told of.
+    /// Returns the orders whose targets this box rejected by its own evaluation, of which it has to
+    /// notify other boxes.
     pub fn local_rejections(&self) -> Vec<u64> {
         let is_local = |(_, rejection): &(&u64, &RejectionReason)| {
             **rejection != RejectionReason::ReportedByPeer
@@ -210,7 +215,7 @@
         local.map(|(order, _)| *order).collect()
     }
 
-    /// Takes another box's word that the target of an order is bad; true if that is new.
+    /// Records that another box rejected the target of an order, and returns whether this is new.
     pub fn accept_peer_rejection(&mut self, order: u64) -> bool {
         let is_first = !self.rejections.contains_key(&order);
         self.rejections
@@ -219,7 +224,7 @@
         is_first
     }
 
-    /// Judges a version by all counts that this box has.
+    /// Evaluates a version by all statistics that this box has.
     pub fn evaluate(
         &mut self,
         status: RolloutStatus<'_>,
@@ -268,7 +273,7 @@
         verdict
     }
 
-    /// Returns how long so many answers have been in doubt.
+    /// Returns how long the rollback clock has been running without a proof.
     fn unproven_time(&mut self, order: u64, is_clock_running: bool, now: Now) -> Duration {
         if !is_clock_running {
             self.unproven_since.remove(&order);
@@ -278,22 +283,22 @@
         now.monotonic.saturating_sub(*since)
     }
 
-    /// Returns the route on which a version fails too often: it may be bad on one route alone,
-    /// or a little on each.
+    /// Returns a route on which a version fails too often. Routes are tested one by one and
+    /// together, since a version may be bad on one route alone or slightly bad on each.
     fn failing_route(
         &mut self,
         status: RolloutStatus<'_>,
         routes: BTreeMap<String, RouteCounts>,
     ) -> Option<(String, Counts)> {
         for (route, counts) in routes {
-            let tested = VersionName {
+            let test_name = VersionName {
                 model: format!("{} {route}", status.order),
                 version: status.target.version.clone(),
             };
             let policy = counts.guard_policy();
             let alarm = self
                 .failure_guard
-                .observe_with(policy, &tested, &counts.new);
+                .observe_with(policy, &test_name, &counts.new);
             if alarm.is_some() {
                 return Some((route, counts.new));
             }
@@ -319,7 +324,7 @@
     );
 }
 
-/// The counts of one route, or of all.
+/// The responses and failures on one route, or on all.
 #[derive(Debug, Clone, Copy, Default)]
 struct RouteCounts {
     new: Counts,
@@ -327,7 +332,7 @@
 }
 
 impl RouteCounts {
-    /// Returns what is tolerated: at least what the old versions show as well.
+    /// Returns the guard's policy, which tolerates at least the old version's failure rate.
     fn guard_policy(&self) -> GuardPolicy {
         GuardPolicy {
             tolerated_failed: self
@@ -337,14 +342,14 @@
         }
     }
 
-    /// Returns the part of the old version's answers that fail, with those that are imagined.
+    /// Returns the old version's failure rate, with the prior of [`PRIOR_RESPONSES`].
     fn expected_failure_rate(&self) -> f64 {
         let prior_failed = PRIOR_RESPONSES * FAILURE_GUARD.tolerated_failed;
         (self.old.failed as f64 + prior_failed) / (self.old.served as f64 + PRIOR_RESPONSES)
     }
 
-    /// Returns the logarithm of how much likelier the failures are of a bad version than of one
-    /// that fails as the old one does.
+    /// Returns the log-likelihood ratio of the new version's failures under a bad version and under
+    /// one that fails as often as the old one.
     fn failure_log_ratio(&self) -> f64 {
         let expected_failure_rate = self.expected_failure_rate().max(MIN_OLD_FAILURE_RATE);
         let bad = expected_failure_rate + (1.0 - expected_failure_rate) * BAD_EXTRA_FAILURE_RATE;
@@ -355,8 +360,8 @@
     }
 }
 
-/// Returns what the record says was seen before, if it is more than this box has counts of: boxes
-/// that were restarted have lost theirs.
+/// Returns the evidence in the record if it includes more responses than this box has statistics
+/// of, which restarted boxes have lost.
 fn usable_stored_evidence(
     status: RolloutStatus<'_>,
     statistics: &RolloutStatistics,
@@ -371,7 +376,7 @@
         .unwrap_or_default()
 }
 
-/// Sums up what was seen before the present stretch, whose answers are under way.
+/// Summarises the evidence up to the current window, whose responses are in flight.
 fn evidence_until_now(
     status: RolloutStatus<'_>,
     recent: &RolloutStatistics,
@@ -386,15 +391,15 @@
     }
 }
 
-/// Returns the logarithm of the odds that a version fails more often than the old one, by the
-/// failures of all routes.
+/// Returns the log-likelihood ratio of "the new version fails more often than the old one", summed
+/// over routes.
 fn failure_log_ratio(statistics: &RolloutStatistics) -> f64 {
     let by_route = counts_by_route(statistics);
     let single = by_route.iter().filter(|(route, _)| *route != ALL_ROUTES);
     single.map(|(_, counts)| counts.failure_log_ratio()).sum()
 }
 
-/// Returns how far those odds allow to go on with a version.
+/// Returns the level of evidence that this ratio gives.
 fn failure_evidence_level(log_ratio: f64) -> EvidenceLevel {
     if log_ratio <= CONCLUSIVE_MAX_FAILURE_LLR {
         EvidenceLevel::Conclusive
@@ -405,18 +410,18 @@
     }
 }
 
-/// Returns the answers and failures of each route, and of all together.
+/// Returns the responses and failures on each route, and on all together.
 fn counts_by_route(statistics: &RolloutStatistics) -> BTreeMap<String, RouteCounts> {
     let mut by_route: BTreeMap<String, RouteCounts> = BTreeMap::new();
     let mut all = RouteCounts::default();
     for (group, pair) in &statistics.groups {
-        let found = |completed: u32, failed: u32| Counts {
+        let counts_of = |completed: u32, failed: u32| Counts {
             served: u64::from(completed) + u64::from(failed),
             failed: u64::from(failed),
             ..Counts::default()
         };
-        let new = found(pair.new.completed.total(), pair.new.failed);
-        let old = found(pair.old.completed.total(), pair.old.failed);
+        let new = counts_of(pair.new.completed.total(), pair.new.failed);
+        let old = counts_of(pair.old.completed.total(), pair.old.failed);
         let route = by_route.entry(group.route.clone()).or_default();
         for counts in [route, &mut all] {
             counts.new.add(&new);
--- a/src/gateway/versions/recording.rs
+++ b/src/gateway/versions/recording.rs
@@ -1,4 +1,4 @@
-//! Counts each request and answer of a service under roll-out, and judges its target.
+//! Records the requests and responses of services under rollout, and evaluates their new versions.
 
 use super::exposure::RolloutTime;
 use super::local_statistics::{ResponseTimer, sampled_request, window_at};
@@ -16,15 +16,15 @@
 use crate::gateway::place::reading;
 use std::time::Duration;
 
-/// How long a box that starts sends a version under trial nothing: three times the time between
-/// two words of the others on what they found.
+/// How long after its own start a box sends no requests to an unproven version: three intervals at
+/// which other boxes announce the versions that they rejected.
 const NEW_VERSION_HOLDOFF: Duration = Duration::from_millis(1200);
 
 impl Gateway {
-    /// Counts a request that is sent, and begins to time the head of an engine's answer or a
-    /// plain answer.
+    /// Counts a request that is being sent, and starts to time an engine's response head or a plain
+    /// response.
     ///
-    /// Of a plain request only the first try is timer: one that fails at an upstream often
+    /// Only the first try of a plain request is timed: a request that fails at one upstream often
     /// fails at the next as well, whatever their versions.
     pub fn start_response_timer(
         &self,
@@ -52,7 +52,7 @@
         (metric == LatencyMetric::HeadDelay || job.tries.runs() == 0).then_some(timer)
     }
 
-    /// Records how a try with an engine began: its head came, or a failure of its own.
+    /// Records the outcome of a try at an engine: its response head, or a failure of the engine.
     pub fn record_head(&self, tried: &Tried, timer: Option<ResponseTimer>, now: Now) {
         let (Some(timer), Tried::Answered(answer)) = (timer, tried) else {
             return;
@@ -64,7 +64,7 @@
         timer.record_completion(now);
     }
 
-    /// Begins to time the events of an answer, of which the gaps between so many are judged.
+    /// Starts to time the events of a stream; `gaps` is the number of intervals that are timed.
     pub fn start_event_timer(
         &self,
         job: &Job,
@@ -91,7 +91,7 @@
         upstream.with_listed(|listed| sampled_request(rollout, &listed.version, now))
     }
 
-    /// Records when the first event of an answer came.
+    /// Records the first event of a response.
     pub fn record_first_event(&self, job: &Job, answer: &Answer, model: &str, now: Now) {
         let upstream = answer.upstream();
         let took = now.monotonic.saturating_sub(answer.sent);
@@ -107,12 +107,12 @@
         });
     }
 
-    /// Tells whether the target of a roll-out was found bad.
+    /// Returns whether the target of a rollout order was rejected.
     pub fn is_version_rejected(&self, order: u64) -> bool {
         self.versions.borrow().rejection(order).is_some()
     }
 
-    /// Judges the targets of all roll-outs under way, and forgets those that are not.
+    /// Evaluates the targets of all active rollouts, and drops the statistics of all others.
     pub fn evaluate_rollouts(&self, now: Now) {
         let knowledge = self.knowledge.borrow();
         let orders: Vec<u64> = knowledge
@@ -130,10 +130,10 @@
         }
     }
 
-    /// Judges the target of a roll-out; none if it is not under way.
+    /// Evaluates the target of a rollout; `None` if the rollout is not running.
     ///
-    /// Only boxes that may lead go by what the record says was seen: others hear of it too late to
-    /// weigh it against what they see themselves.
+    /// Only boxes that may lead use the evidence in the rollout record. Others receive the record
+    /// too late to compare it with their own statistics.
     pub fn evaluate_rollout(
         &self,
         rollout: &Rollout,
@@ -161,7 +161,7 @@
         Some(versions.evaluate(status, &bound, now))
     }
 
-    /// Takes another box's word that the target of an order is bad.
+    /// Records that another box rejected the target of an order.
     pub fn accept_peer_rejection(&self, order: u64, from: &str) {
         if self.versions.borrow_mut().accept_peer_rejection(order) {
             let reason = RejectionReason::ReportedByPeer;
@@ -169,8 +169,8 @@
         }
     }
 
-    /// Tells whether this box has been up for too short a time to have been told that a
-    /// version is bad.
+    /// Returns whether this box started so recently that it may not yet have heard of a rejected
+    /// version.
     pub fn has_just_started(&self, now: Now) -> bool {
         now.monotonic.saturating_sub(self.started) < NEW_VERSION_HOLDOFF
     }
--- a/src/gateway/versions/rollout.rs
+++ b/src/gateway/versions/rollout.rs
@@ -1,8 +1,8 @@
-//! Roll-outs of a service's version: who is served by which.
+//! The stages of a rollout, and which version serves a request.
 //!
-//! The leading box takes a roll-out through its stages and keeps the stage in the store;
-//! every box follows the stage it has heard of last. Whether a version is bad is found by
-//! [`super::monitor`]. See `docs/design/platform.md`.
+//! The leading box moves a rollout through its stages and writes the current one to the store;
+//! every box applies the stage that it received last. [`super::monitor`] evaluates whether the new
+//! version is bad. See `docs/design/platform.md`.
 
 use super::exposure::{ExposureBound, MAX_FIRST_STAGE_PERMILLE, RolloutTime};
 use super::latency_evidence::EvidenceLevel;
@@ -13,51 +13,53 @@
 use crate::gateway::place::choose::draw;
 use std::time::Duration;
 
-/// How long the time of a roll-out is overdue in its record before the box that is next in line
-/// takes it on: the first one does not reach the store, though others hear of it, and a sound
-/// version would be late by as long as that lasts.
+/// How long a rollout record may be overdue before the next box in line takes over. This covers a
+/// leading box that cannot reach the store although other boxes still hear from it; a good version
+/// would be late by as long as that lasts.
 const RECORD_OVERDUE_AFTER: Duration = Duration::from_millis(1500);
-/// All sessions, in the type of a hash.
+/// All sessions in thousandths, in the type of a session hash.
 const SESSION_BUCKETS: u64 = ALL_SESSIONS as u64;
-/// The middle stages, in thousandths of the sessions: at the first the new engines read the
-/// prompts of the sessions that move, at the second they bear about what the old ones bear, so
-/// that the two can be compared under load. The operators' share may allow less.
+/// The size of the first middle stage, in thousandths of the sessions, at which the new engines
+/// process the prompts of the sessions that move to them. The operators' share may allow less.
 pub const MIGRATION_STAGE_PERMILLE: u32 = 250;
+/// The size of the second middle stage, at which the new engines have about as much load as the
+/// old ones, so that the two can be compared under load. The operators' share may allow less.
 const COMPARISON_STAGE_PERMILLE: u32 = 400;
-/// When the middle stages begin, in hundredths of the roll-out's time: sessions that are under
-/// way may change versions only in its second half.
+/// The start of the first middle stage, in per cent of the rollout's time. Sessions in progress may
+/// change versions only in its second half.
 const MIGRATION_START_PERCENT: u64 = 52;
-/// The part of the time, in hundredths, until which the second middle stage goes on while its
-/// proof still grows: a sound version loses nothing by it, and what the operators' share leaves
-/// is better spent on telling a weak one.
+/// The point, in per cent of the time, until which the second middle stage waits for
+/// [`EvidenceLevel::Conclusive`]. A good version loses nothing by it, and what is left of the
+/// operators' share is best used to detect a slightly bad one.
 const CONCLUSIVE_UNTIL_PERCENT: u64 = 78;
-/// How long a stage lasts at least, in hundredths of the time.
+/// The minimum duration of the first middle stage, in per cent of the time.
 const MIGRATION_MIN_PERCENT: u32 = 4;
+/// The same of the last stage, which has all sessions.
 const FULL_STAGE_MIN_PERCENT: u32 = 8;
-/// The same for each hundredth, at most: a version that has left its first stage has some four
-/// seconds to prove itself, however long the whole roll-out takes.
+/// The maximum duration of one per cent in these minimums. A version that has left its first stage
+/// has about four seconds for its proof, however long the rollout is.
 const MAX_PERCENT_DURATION: Duration = Duration::from_millis(250);
-/// How long after an order no session is moved, while boxes tell each other which
-/// sessions the old version serves: two of their reports and the way of the order.
+/// How long after an order no session is moved, while boxes send each other the sessions that the
+/// old version serves: two report intervals and the delivery of the order.
 const SESSION_EXCHANGE_TIME: Duration = Duration::from_millis(1600);
-/// The part of its time, in hundredths, at which a good roll-out is declared done; the
-/// rest covers a store that is away for a while.
+/// The point, in per cent of the time, at which a good rollout is declared done. The rest covers a
+/// temporary outage of the store.
 const DONE_AT_PERCENT: u64 = 84;
-/// The part from which a proof would come too late to be done in time, so that a version about
-/// which too little is known is taken back: operators read that it is not in service, and
-/// nobody is left on it.
+/// The point, in per cent of the time, from which a proof would come too late. A version without
+/// one is then reverted: operators read that it is not in service, and no session is left on it.
 const GIVE_UP_AT_PERCENT: u64 = 92;
+
 /// Which versions of a service may serve a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum VersionRule {
-    /// Any but these.
+    /// Any version except these.
     AnyExcept(Vec<String>),
-    /// This one, or any other if no upstream of it is left.
+    /// This version, or any other if it has no upstream left.
     Prefer(String),
 }
 
 impl VersionRule {
-    /// Tells whether an upstream's version may serve, the fallback left aside.
+    /// Returns whether a version may serve, apart from the fallback of [`Self::Prefer`].
     pub fn allows(&self, version: &str) -> bool {
         match self {
             Self::AnyExcept(excluded) => !excluded.iter().any(|found| found == version),
@@ -66,22 +68,22 @@
     }
 }
 
-/// What is asked about one request.
+/// What determines the version for a request.
 #[derive(Debug, Clone, Copy)]
 pub struct VersionQuery<'a> {
-    /// What the requests of a session have in common.
+    /// The key that the requests of a session share.
     pub session: &'a str,
-    /// The version that served the session a short while ago.
+    /// The version that served the session recently.
     pub session_version: Option<&'a str>,
-    /// Whether some box saw the old version serve the session when the order came.
+    /// Whether some box saw the old version serve the session at the time of the order.
     pub stays_on_old_version: bool,
-    /// Whether this box found the target bad, or was told so.
+    /// Whether this box has rejected the target or was notified of its rejection.
     pub is_rejected: bool,
-    /// Whether this box may not have been told yet, since it has just started.
+    /// Whether this box has just started, so that it may not yet have been notified.
     pub has_just_started: bool,
 }
 
-/// Decides which versions may serve a request.
+/// Returns which versions may serve a request.
 pub fn version_rule(rollout: Option<&Rollout>, query: VersionQuery<'_>, now: Now) -> VersionRule {
     let Some(rollout) = rollout else {
         return VersionRule::AnyExcept(Vec::new());
@@ -124,32 +126,32 @@
     }
 }
 
-/// Tells whether a session, by its hash, is among those that the first stage may move.
+/// Returns whether the first stage may move a session, by the session's hash.
 pub fn may_move_in_first_stage(session: u64) -> bool {
     session % SESSION_BUCKETS < u64::from(MAX_FIRST_STAGE_PERMILLE)
 }
 
-/// What the leading box knows when it takes a roll-out on.
+/// What the leading box knows when it decides on the next stage.
 #[derive(Debug, Clone, Copy)]
 pub struct RolloutProgress {
-    /// The time that has surely passed since the order.
+    /// The time that has certainly passed since the order.
     pub elapsed: Duration,
-    /// What has probably passed beyond it while no box was there to count.
+    /// The additional time that has probably passed while no box was running to count it.
     pub unobserved: Duration,
-    /// Whether the target was found bad.
+    /// Whether the target was rejected.
     pub is_rejected: bool,
-    /// What is known of how it answers.
+    /// The evaluation of the target.
     pub verdict: Verdict,
-    /// What operators allow a bad version.
+    /// The operators' limits on the use of a bad version.
     pub bound: ExposureBound,
 }
 
-/// Returns the time of the order at which the present stage began.
+/// Returns the time between the order and the start of the current stage.
 pub fn stage_start(record: &RolloutRecord) -> Duration {
     Duration::from_millis(record.stage_ms)
 }
 
-/// Returns the next record of a roll-out, if it has to change.
+/// Returns the next record of a rollout, if it has to change.
 pub fn next_record(
     order: &RolloutOrder,
     known: Option<&RolloutRecord>,
@@ -211,13 +213,12 @@
     (is_new_stage || is_write_due).then_some(next)
 }
 
-/// Returns the time of an order at which it is to be written down again.
+/// Returns the time since the order at which the record has to be written again.
 fn next_write_due(order: &RolloutOrder, record: &RolloutRecord) -> Duration {
     Duration::from_millis(record.elapsed_ms) + order.duration / 100 * TIME_WRITTEN_EACH
 }
 
-/// Tells whether the box that leads a roll-out has not written for so long that another one
-/// should.
+/// Returns whether the leading box has not written the record for so long that another box should.
 pub fn is_record_overdue(
     order: &RolloutOrder,
     known: Option<&RolloutRecord>,
@@ -228,8 +229,8 @@
     elapsed >= due + RECORD_OVERDUE_AFTER
 }
 
-/// Returns the stage that follows, or the present one for as long as it has to last or nothing
-/// proves the version good: no alarm is no proof.
+/// Returns the next stage, or the current one if its minimum duration is not over or the evidence
+/// for the version is too weak. The absence of a rejection is not enough.
 fn next_stage_permille(
     current: u32,
     percent: u64,
@@ -284,7 +285,7 @@
     }
 }
 
-/// Returns how long a stage of so many hundredths lasts at least.
+/// Returns the minimum duration of a stage.
 fn min_stage_duration(percent: u32, order: &RolloutOrder) -> Duration {
     (order.duration / 100).min(MAX_PERCENT_DURATION) * percent
 }
--- a/src/gateway/versions/session_versions.rs
+++ b/src/gateway/versions/session_versions.rs
@@ -1,7 +1,8 @@
-//! Which version served each session of late, so that a roll-out does not move it.
+//! Which version has recently served each session, so that a rollout does not move the session.
 //!
-//! A session's requests reach several boxes, so boxes tell each other which sessions the
-//! old version serves when a roll-out is ordered. Those keep it for the first half.
+//! The requests of a session reach several boxes. When a rollout is ordered, boxes therefore send
+//! each other the sessions that the old version serves; these stay on it for the first half of the
+//! rollout.
 
 use super::rollout::may_move_in_first_stage;
 use crate::clock::Now;
@@ -10,20 +11,22 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// Sessions kept at most; the oldest knowledge goes first when there are more.
+/// The maximum number of remembered sessions. When it is reached, expired sessions are removed; if
+/// none are, new sessions are not recorded.
 const MAX_SESSIONS: usize = 8192;
 
-/// The sessions that this box served or heard of.
+/// The sessions that this box has served, and those reported by other boxes.
 #[derive(Debug)]
 pub struct SessionVersions {
     idle_timeout: Duration,
     versions: HashMap<u64, (String, Duration)>,
-    /// The sessions that stay with the old version, by the order's revision.
+    /// The hashes of the sessions that stay on the old version, by the revision of the order.
     kept_on_old: HashMap<u64, HashSet<u64>>,
 }
 
 impl SessionVersions {
-    /// Makes an empty memory of sessions that end when nothing comes for `lifetime`.
+    /// Creates an empty set of sessions, each of which expires after `idle_timeout` without a
+    /// request.
     pub fn new(idle_timeout: Duration) -> Self {
         Self {
             idle_timeout,
@@ -32,7 +35,7 @@
         }
     }
 
-    /// Records which version serves a session.
+    /// Records the version that serves a session.
     pub fn record_version(&mut self, session: &str, version: &str, now: Now) {
         if self.versions.len() >= MAX_SESSIONS {
             self.remove_expired(now);
@@ -44,28 +47,28 @@
         }
     }
 
-    /// Returns the version that served a session, if the session is not over.
+    /// Returns the version that served a session, unless the session has expired.
     pub fn current_version(&self, session: &str, now: Now) -> Option<&str> {
         let (version, at) = self.versions.get(&draw(session))?;
         let is_active = now.monotonic.saturating_sub(*at) < self.idle_timeout;
         is_active.then_some(version.as_str())
     }
 
-    /// Tells whether a session stays with the old version in an order's first half.
+    /// Returns whether a session stays on the old version in the first half of a rollout.
     pub fn stays_on_old_version(&self, session: &str, order_revision: u64) -> bool {
         self.kept_on_old
             .get(&order_revision)
             .is_some_and(|kept_on_old| kept_on_old.contains(&draw(session)))
     }
 
-    /// Takes the sessions that another box knows to be served by the old version.
+    /// Adds sessions that the old version serves according to another box.
     pub fn keep_on_old_version(&mut self, order_revision: u64, sessions: &[u64]) {
         let kept_on_old = self.kept_on_old.entry(order_revision).or_default();
         kept_on_old.extend(sessions);
     }
 
-    /// Returns the sessions that an order's first stage could move, and that the old
-    /// version serves as far as this box knows.
+    /// Returns the sessions that the first stage of a rollout could move and that this box has seen
+    /// served by the old version.
     pub fn sessions_to_keep(&mut self, order: &RolloutOrder, now: Now) -> Vec<u64> {
         let idle_timeout = self.idle_timeout;
         let kept_session = |(session, (version, at)): (&u64, &(String, Duration))| {
@@ -78,7 +81,7 @@
         own
     }
 
-    /// Forgets the sessions that are over.
+    /// Removes expired sessions.
     pub fn remove_expired(&mut self, now: Now) {
         let idle_timeout = self.idle_timeout;
         self.versions
--- a/src/gateway/versions/statistics.rs
+++ b/src/gateway/versions/statistics.rs
@@ -1,8 +1,7 @@
-//! What was observed of the versions of a service under roll-out, old and new.
+//! Request and response statistics of the versions of a service under rollout.
 //!
-//! Answers are grouped by the stretch of the roll-out's time in which their requests were sent,
-//! by route and by what is timed, so that those of the new version are compared with those of
-//! the old one that ran beside them.
+//! Responses are grouped by the time window in which their requests were sent, by route and by
+//! metric, so that those of the new version are compared with concurrent ones of the old version.
 
 use super::histogram::TimeHistogram;
 use serde::{Deserialize, Serialize};
@@ -10,46 +9,46 @@
 use std::ops::RangeBounds;
 use std::time::Duration;
 
-/// Stretches that a report repeats. What changes in older ones are answers that took a third
-/// of the roll-out's time.
+/// The number of recent windows that each report includes. Older windows change only by responses
+/// that took a third of the rollout's time.
 const REPORTED_WINDOWS: u16 = 10;
 
-/// Stretches that are kept: two minutes, in which a version on trial is judged many times.
+/// The number of windows that are kept: two minutes, in which a version is evaluated many times.
 const KEPT_WINDOWS: u16 = 120;
 
-/// What is timed of an answer.
+/// What is timed of a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum LatencyMetric {
-    /// An engine's way to the head of its answer, in parts of the expected time.
+    /// The time to the head of an engine's response, in multiples of the expected time.
     HeadDelay,
     /// The mean time between two events of a stream, in seconds.
     EventInterval,
-    /// A plain answer, in seconds.
+    /// The time to a complete plain response, in seconds.
     ResponseTime,
 }
 
-/// Which answers of a stretch are compared with each other.
+/// Identifies the responses of a window that are compared with each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ResponseKind<'a> {
-    /// Their route.
+    /// The route.
     pub route: &'a str,
     /// What is timed.
     pub metric: LatencyMetric,
 }
 
-/// Answers that are compared with each other.
+/// Identifies a group of responses that are compared with each other.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ResponseGroup {
-    /// The stretch in which their requests were sent.
+    /// The time window in which their requests were sent.
     pub window: u16,
-    /// Their route.
+    /// The route.
     pub route: String,
     /// What is timed.
     pub metric: LatencyMetric,
 }
 
 impl ResponseGroup {
-    /// Returns what the group has in common with those of other stretches.
+    /// Returns what the group shares with those of other windows.
     pub fn kind(&self) -> ResponseKind<'_> {
         ResponseKind {
             route: &self.route,
@@ -58,12 +57,12 @@
     }
 }
 
-/// Where a request stands in a roll-out when it is sent.
+/// The classification of a request when it is sent during a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SampledRequest {
     /// The order's revision in the store.
     pub order: u64,
-    /// The stretch of the roll-out's time.
+    /// The time window of the rollout.
     pub window: u16,
     /// The time since the order.
     pub elapsed: Duration,
@@ -71,29 +70,29 @@
     pub is_new_version: bool,
 }
 
-/// The answers of one version in a group.
+/// The responses of one version in a group.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResponseStatistics {
-    /// The times of those that came.
+    /// The times of completed responses.
     pub completed: TimeHistogram,
-    /// How long those under way have taken so far.
+    /// The times that responses in flight have taken so far.
     pub in_flight: TimeHistogram,
-    /// Those that the upstream failed to give.
+    /// The number of requests that the upstream failed to answer.
     pub failed: u32,
 }
 
 impl ResponseStatistics {
-    /// Returns the number of those that were or are being timed.
+    /// Returns the number of completed responses and of those in flight.
     pub fn timed(&self) -> u32 {
         self.completed.total() + self.in_flight.total()
     }
 
-    /// Returns the number of those that came or failed.
+    /// Returns the number of completed and failed responses.
     pub fn finished(&self) -> u32 {
         self.completed.total() + self.failed
     }
 
-    /// Adds other answers.
+    /// Adds the statistics of other responses.
     pub fn merge(&mut self, other: &Self) {
         self.completed.merge(&other.completed);
         self.in_flight.merge(&other.in_flight);
@@ -101,17 +100,17 @@
     }
 }
 
-/// The answers of both versions in a group.
+/// The responses of both versions in a group.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionPair {
-    /// Those of the version under roll-out.
+    /// The responses of the version under rollout.
     pub new: ResponseStatistics,
-    /// Those of the versions before it.
+    /// The responses of the previous versions.
     pub old: ResponseStatistics,
 }
 
 impl VersionPair {
-    /// Returns the answers of one side.
+    /// Returns the responses of one of the two.
     pub fn version_mut(&mut self, is_new_version: bool) -> &mut ResponseStatistics {
         match is_new_version {
             true => &mut self.new,
@@ -119,22 +118,22 @@
         }
     }
 
-    /// Adds the answers of another pair.
+    /// Adds the statistics of another pair.
     pub fn merge(&mut self, other: &Self) {
         self.new.merge(&other.new);
         self.old.merge(&other.old);
     }
 }
 
-/// Requests that were sent to a service.
+/// Numbers of requests to a service under rollout.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestCounts {
-    /// Those to the version under roll-out.
+    /// Requests to the version under rollout.
     pub new_version: u64,
-    /// All of them.
+    /// Requests to all versions.
     pub all: u64,
-    /// The time since the order at which the first of them was sent; none if there are none.
-    /// Boxes that were restarted have not counted what came before.
+    /// The time between the order and the first counted request; `None` if there is none. A
+    /// restarted box has not counted the requests before its start.
     pub first_at: Option<Duration>,
 }
 
@@ -146,7 +145,7 @@
         self.first_at = earliest(self.first_at, Some(request.elapsed));
     }
 
-    /// Adds another box's requests.
+    /// Adds the counts of another box.
     pub fn merge(&mut self, other: &Self) {
         self.new_version += other.new_version;
         self.all += other.all;
@@ -158,33 +157,33 @@
     one.into_iter().chain(other).min()
 }
 
-/// What a box tells others of a roll-out. It takes the place of what the box said before of
-/// the same stretches.
+/// One box's report on a rollout to other boxes. It replaces what the box reported before on the
+/// same windows.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StatisticsReport {
-    /// The name of the box's life.
+    /// Identifies the box and its start.
     pub reporter: String,
-    /// Reports of a life count up, so that a late one is known as such.
+    /// Increases with each report of a reporter, so that reports out of order are detected.
     pub sequence: u64,
     /// The order's revision in the store.
     pub order: u64,
     /// The requests that the box has sent since the order.
     pub requests: RequestCounts,
-    /// The newest stretches.
+    /// The groups of the most recent windows.
     pub groups: Vec<(ResponseGroup, VersionPair)>,
 }
 
-/// One box's own counts of one roll-out.
+/// The statistics of one rollout.
 #[derive(Debug, Clone, Default)]
 pub struct RolloutStatistics {
-    /// The requests sent since the order.
+    /// The requests since the order.
     pub requests: RequestCounts,
-    /// The answers.
+    /// The responses by group.
     pub groups: BTreeMap<ResponseGroup, VersionPair>,
 }
 
 impl RolloutStatistics {
-    /// Takes a box's newer word on some stretches.
+    /// Replaces the windows that a box's newer report covers.
     pub fn apply_report(&mut self, report: StatisticsReport) {
         let first = report.groups.iter().map(|(group, _)| group.window).min();
         if let Some(first) = first {
@@ -195,14 +194,14 @@
         self.drop_old_windows();
     }
 
-    /// Forgets the oldest stretches of a long roll-out, so that what is kept does not grow.
+    /// Drops the oldest windows of a long rollout, so that memory stays bounded.
     pub fn drop_old_windows(&mut self) {
         let newest = self.groups.keys().next_back();
         let first = newest.map_or(0, |group| group.window.saturating_sub(KEPT_WINDOWS));
         self.groups.retain(|group, _| group.window >= first);
     }
 
-    /// Returns the number of the new version's answers before a stretch.
+    /// Returns the number of responses of the new version before a window.
     pub fn responses_before(&self, window: u16) -> u32 {
         let is_before = |(group, _): &(&ResponseGroup, &VersionPair)| {
             group.window < window && group.metric != LatencyMetric::EventInterval
@@ -211,7 +210,7 @@
         groups.map(|(_, pair)| pair.new.finished()).sum()
     }
 
-    /// Returns the answers of the stretches that a range holds.
+    /// Returns the statistics of a range of windows.
     pub fn in_windows(&self, windows: impl RangeBounds<u16>) -> Self {
         let is_in_range =
             |(group, _): &(&ResponseGroup, &VersionPair)| windows.contains(&group.window);
@@ -224,7 +223,7 @@
         }
     }
 
-    /// Adds another box's counts.
+    /// Adds the statistics of another box.
     pub fn merge(&mut self, other: &Self) {
         self.requests.merge(&other.requests);
         for (group, pair) in &other.groups {
@@ -232,7 +231,7 @@
         }
     }
 
-    /// Returns what a report repeats.
+    /// Returns the windows that a report includes.
     pub fn recent_windows(&self) -> Vec<(ResponseGroup, VersionPair)> {
         let newest = self.groups.keys().next_back();
         let first = newest.map_or(0, |group| group.window.saturating_sub(REPORTED_WINDOWS));
