--- a/tests/gateway/rollout_simulation.rs
+++ b/tests/gateway/rollout_simulation.rs
@@ -1,11 +1,13 @@
-//! Whole roll-outs in virtual time: what a bad version gets, and what becomes of a good one.
+//! Whole rollouts in virtual time: how far a bad version is used, and whether a good one is done in
+//! time.
 //!
-//! The pattern is the incident of the slow version: nine boxes that each see a part, counts
-//! that travel and get lost, a version whose slowed answers come last. The boxes' decisions are
-//! the real ones; callers and engines are a model whose figures are its own: requests come at
-//! random, an engine's head takes 0.3 s in the median and half as much again or less for two
-//! thirds of them, an event 30 ms. A slowed request takes so many times as long and holds up no
-//! other one, which is the hardest case: engines that hold up others show sooner.
+//! The scenario is the incident of the slow version: nine boxes that each see a part of the
+//! requests, statistics that are delayed and get lost, and a version whose slowed responses
+//! complete last. The boxes' decisions are those of the production code. Clients and engines are
+//! modelled: requests arrive at random, the time to an engine's response head is 0.3 s in the
+//! median and between 2/3 and 3/2 of that for two thirds of the responses, and the interval between
+//! events is 30 ms. A slowed request takes longer by the slowdown factor and delays no other one,
+//! which is the hardest case: an engine that delays others is detected sooner.
 
 use super::cases;
 use gatepier::clock::{Now, WallTime};
@@ -26,56 +28,60 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// The time that operators give a roll-out, in seconds, where nothing else is said.
+/// The default time that operators give a rollout.
 const DEFAULT_DURATION_S: u64 = 20;
 const HEAD_MEDIAN_S: f64 = 0.3;
 const HEAD_LOG_SPREAD: f64 = 0.4;
 const EVENT_INTERVAL_MEDIAN_S: f64 = 0.03;
 const EVENT_INTERVAL_LOG_SPREAD: f64 = 0.3;
 const EVENT_INTERVALS: f64 = 12.0;
-/// The time between two words of a box, and between two looks of the leading one.
+/// The interval between two reports of a box.
 const REPORT_INTERVAL: Duration = Duration::from_millis(400);
+/// The interval between two evaluations of the leading box.
 const LEAD_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a record takes to every box by the store.
+/// The delivery time of a record from the store to the other boxes.
 const RECORD_DELAY: Duration = Duration::from_millis(400);
-/// The part of datagrams that are lost.
+/// The fraction of datagrams that get lost.
 const DATAGRAM_LOSS: f64 = 0.1;
-/// Boxes that are told of counts.
+/// The number of boxes that receive statistics.
 const REPORT_RECEIVERS: usize = 2;
-/// Boxes that may lead, and go by what the record says was seen.
+/// The number of boxes that may lead, and that use the evidence in the record.
 const LEADER_CANDIDATES: usize = 2;
-/// How long boxes that were killed take to serve again.
+/// How long killed boxes take to serve again.
 const RESTART_TIME: Duration = Duration::from_millis(500);
 const ORDER: u64 = 10;
+/// The number of bad responses from which the rollback time runs.
 const ROLLBACK_CLOCK_RESPONSES: usize = 50;
 
-/// How a version is bad, and under what load.
+/// The quality of a version, and the load and faults of a run.
 #[derive(Debug, Clone, Copy)]
 struct Scenario {
     boxes: usize,
-    /// Requests a second, of all boxes.
+    /// Requests a second, of all boxes together.
     rate_per_second: f64,
-    /// The part of the version's requests that are slowed, and by what factor.
+    /// The fraction of the version's requests that are slowed.
     slowed_fraction: f64,
+    /// The factor by which they take longer.
     slowdown_factor: f64,
-    /// The time that operators give, in seconds.
+    /// The time that operators give.
     duration_s: u64,
-    /// Whether answers have so few events that only their heads are timed.
+    /// Whether responses have so few events that only their heads are timed.
     has_heads_only: bool,
-    /// How widely the times to the heads of sound answers differ.
+    /// The spread of the times to response heads: the standard deviation of their logarithm.
     head_log_spread: f64,
-    /// The thousandths of the sessions from which on the version slows requests: a version may be
-    /// sound until it has load.
+    /// The stage, in thousandths of the sessions, from which the version slows requests. A version
+    /// may be good until it has load.
     slowed_from_permille: u32,
-    /// Of so many engines of the version one is slow, whatever the version; none for no such.
+    /// One in this many engines of the new version is slow, which is no fault of the version; `None`
+    /// for no slow engine.
     slow_engine_one_in: Option<u64>,
-    /// When all boxes are killed together, in seconds.
+    /// The times at which all boxes are killed together.
     killed_at_s: &'static [u64],
     seed: u64,
 }
 
 impl Scenario {
-    /// A sound version of a service with so many requests a second, between nine boxes.
+    /// Returns a scenario with a good version of a service between nine boxes.
     fn sound(rate_per_second: f64, seed: u64) -> Self {
         Self {
             boxes: 9,
@@ -107,20 +113,20 @@
     KillAll,
 }
 
-/// A request on its way.
+/// A request in flight.
 struct Request {
     box_index: usize,
     is_new_version: bool,
     is_slowed: bool,
     timer: Option<ResponseTimer>,
-    /// The life of the boxes in which it was sent; what was under way at a kill is lost.
+    /// The number of restarts of the boxes when it was sent. A kill loses the requests in flight.
     restarts: usize,
 }
 
-/// A box, as far as roll-outs go.
+/// A box, as far as rollouts are concerned.
 struct BoxModel {
     monitor: VersionMonitor,
-    /// The records that it has heard or will hear of, each with the time of that.
+    /// The records that it receives, with the time of each.
     records: Vec<(Duration, RolloutRecord)>,
 }
 
@@ -131,12 +137,12 @@
     }
 }
 
-/// What came of a roll-out.
+/// The outcome of a rollout.
 #[derive(Debug, Clone)]
 struct Outcome {
     sent_new: usize,
     sent_all: usize,
-    /// Requests that were sent later than five seconds after the fiftieth bad answer.
+    /// Requests sent to the new version later than five seconds after its fiftieth bad response.
     sent_late: usize,
     state: RolloutState,
 }
@@ -184,7 +190,7 @@
     bad_responses_at: Vec<Duration>,
     /// How often all boxes have been killed.
     restarts: usize,
-    /// Until when no box takes requests after a kill.
+    /// The time until which no box accepts requests after a kill.
     down_until: Duration,
 }
 
@@ -241,14 +247,14 @@
         self.outcome()
     }
 
-    /// Draws from a distribution whose logarithm is normal.
+    /// Draws from an approximately log-normal distribution.
     fn draw_log_normal(&mut self, median: f64, spread: f64) -> f64 {
         let sum: f64 = (0..12).map(|_| self.rng.random::<f64>()).sum();
         median * ((sum - 6.0) * spread).exp()
     }
 
-    /// Ends every box's life: with it goes what the box had counted and all that it had under way.
-    /// What the store holds is read again.
+    /// Restarts all boxes. Their statistics and requests in flight are lost; the record is read
+    /// again from the store.
     fn kill_all(&mut self, at: Duration) {
         self.restarts += 1;
         self.down_until = at + RESTART_TIME;
@@ -263,7 +269,7 @@
         }
     }
 
-    /// Tells whether a request is still under way, and at a box that lives.
+    /// Returns whether a request is still in flight, at a box that was not restarted since.
     fn is_in_flight(&self, id: usize) -> bool {
         self.requests[id].restarts == self.restarts
     }
@@ -498,7 +504,8 @@
 const RATES_PER_SECOND: [f64; 4] = [10.0, 25.0, 100.0, 600.0];
 const SEEDS: u64 = 3;
 
-/// Plays a bad version at every rate, and returns how many plays broke the operators' bounds.
+/// Simulates a bad version at every request rate, and returns the number of runs that exceeded the
+/// operators' limits.
 fn violations(slowed_fraction: f64, slowdown_factor: f64) -> usize {
     let mut violations = 0;
     for rate_per_second in RATES_PER_SECOND {
@@ -514,7 +521,7 @@
     violations
 }
 
-/// Plays roll-outs of a changed sound version at every rate with so many seeds.
+/// Simulates a modified scenario with a good version at every request rate, with this many seeds.
 fn simulate_each(seeds: u64, change: impl Fn(Scenario) -> Scenario) -> Vec<(Scenario, Outcome)> {
     let sound =
         |rate_per_second| (0..seeds).map(move |seed| Scenario::sound(rate_per_second, seed));
@@ -561,15 +568,16 @@
         expect_that!(violations(0.2, 8.0), eq(0));
     }
 
-    weaker_versions_are_listed => {
-        // No promise: what of the weaker ones breaks the bounds, for the pages. Those that break
-        // most slow one request in ten twofold, within the spread of sound answers.
+    violations_by_weaker_versions_are_printed => {
+        // Prints for the documentation how often weaker versions exceed the limits, which is not
+        // guaranteed against. Those that do most often slow one request in ten twofold, which is
+        // within the spread of good responses.
         for slowed_fraction in [0.1, 0.2, 0.4, 1.0] {
             for slowdown_factor in [2.0, 4.0, 8.0, 16.0] {
                 let violations = violations(slowed_fraction, slowdown_factor);
                 let runs = RATES_PER_SECOND.len() * usize::try_from(SEEDS).unwrap();
-                println!("{violations} of {runs} runs broke the bounds: {slowed_fraction} of requests slowed {slowdown_factor} times");
-                expect_that!(violations, le(runs), "a play ends in any case");
+                println!("{violations} of {runs} runs exceeded the limits: {slowed_fraction} of requests slowed {slowdown_factor} times");
+                expect_that!(violations, le(runs), "every run ends");
             }
         }
     }
@@ -584,12 +592,12 @@
         }
     }
 
-    sound_version_of_short_answers_is_done_in_time => {
-        // Seen: a sound version of one box was taken back after 58 answers, of which only the
-        // heads were timed, with odds of e^-2 where e^-3 was asked. How it came about: answers
-        // that come at once differ by what else the machine does, and some sixty of them say too
-        // little by one metric, whatever the version. What caused it: the next stage was given
-        // for a proof alone, though the operators' bounds bear that stage without one.
+    sound_version_of_short_responses_is_done_in_time => {
+        // A good version of a single box was reverted after 58 responses of which only the heads
+        // were timed, with an LLR of -2 where -3 was required. The times of immediate responses
+        // depend on what else the machine does, so some sixty of them by one metric are too weak
+        // evidence for any version. The next stage required a proof, although the operators' limits
+        // permit that stage without one.
         for seed in 0..40 {
             let scenario = Scenario {
                 boxes: 1,
@@ -603,9 +611,9 @@
         }
     }
 
-    version_with_five_minutes_is_judged_as_soon => {
-        // Fails where stretches grow with the roll-out's time: a stage has four seconds to prove
-        // itself, and would be judged from the next stretch of twelve seconds on.
+    version_in_a_five_minute_rollout_is_evaluated_as_soon => {
+        // Fails if time windows grow with the rollout's time: a stage has four seconds for its
+        // proof, and would be evaluated only from the next window of twelve seconds.
         for seed in 0..3 {
             let sound = Scenario { duration_s: 300, ..Scenario::sound(25.0, seed) };
             expect_that!(simulate(sound).state, eq(RolloutState::Done));
@@ -638,7 +646,7 @@
         }
     }
 
-    slow_version_is_written_back_in_time_though_all_boxes_are_killed_twice => {
+    slow_version_is_reverted_in_time_though_all_boxes_are_killed_twice => {
         for (scenario, outcome) in simulate_each(5, |scenario| with_all_boxes_killed_twice(with_slow_version(scenario))) {
             expect_that!(outcome.state, eq(RolloutState::Reverted), "{scenario:?}: {outcome:?}");
         }
--- a/tests/gateway/rollouts.rs
+++ b/tests/gateway/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs: which version serves whom, and when a version is found bad.
+//! Rollouts: which version serves a session, and when a version is rejected.
 
 use super::{at, cases};
 use gatepier::gateway::control::knowledge::Knowledge;
@@ -47,7 +47,7 @@
     }
 }
 
-/// Makes what a box knows of a roll-out.
+/// Returns what a box knows of a rollout.
 fn rollout_with(record: Option<RolloutRecord>) -> Rollout {
     let mut knowledge = Knowledge::default();
     knowledge.apply(Update::RolloutOrdered(order()), at(0));
@@ -71,7 +71,7 @@
     version_rule(Some(rollout), query, at(millis)) == VersionRule::Prefer("v2".to_owned())
 }
 
-/// What operators allow a bad version.
+/// Returns the operators' limits on the use of a bad version.
 fn bound() -> ExposureBound {
     ExposureBound {
         share: 0.15,
@@ -80,8 +80,8 @@
     }
 }
 
-/// What the leading box knows of a version that answers enough to be proved good, or of which
-/// nothing is known.
+/// Returns the leading box's progress with a version that is proved good, or of which nothing is
+/// known.
 fn progress(seconds: u32, is_good: bool) -> RolloutProgress {
     let evidence = match is_good {
         true => EvidenceLevel::Conclusive,
@@ -95,7 +95,7 @@
             latency: LatencyEvidence::default(),
             evidence,
             stage_evidence: evidence,
-            // A hundred a second, of which 30 are as many as the first stage takes.
+            // At 100 requests a second, the first stage gets no more than 30.
             requests: RequestCounts {
                 new_version: 0,
                 all: u64::from(seconds) * 100,
@@ -114,7 +114,7 @@
     }
 }
 
-/// How an answer went, against the usual time.
+/// The outcome of a request; `Slow` is four times as long as `Normal`.
 #[derive(Debug, Clone, Copy)]
 enum Response {
     Normal,
@@ -123,7 +123,7 @@
     Failed,
 }
 
-/// A roll-out at which answers are counted, all in one stretch of its time.
+/// A rollout whose responses are all recorded in one time window.
 struct RolloutFixture {
     monitor: VersionMonitor,
     recorded: u32,
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Counts an answer that took so many seconds; none if it failed.
+    /// Records a response that took this many seconds; `None` if it failed.
     fn record_time(&mut self, is_new_version: bool, route: &str, seconds: Option<f64>) {
         let kind = ResponseKind {
             route,
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Counts an answer; sound ones differ by up to a quarter.
+    /// Records a response. Normal ones differ by up to a quarter.
     fn record(&mut self, is_new_version: bool, route: &str, response: Response) {
         self.recorded += 1;
         let usual = 0.1 * (1.0 + f64::from(self.recorded * 7 % 25) / 100.0);
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Counts an answer of the target, and beside it a whole one of the old version.
+    /// Records a response of the target, and beside it a normal one of the old version.
     fn record_both(&mut self, route: &str, response: Response) {
         self.record(false, route, Response::Normal);
         self.record(true, route, response);
@@ -197,7 +197,7 @@
         self.evaluate_with(None, now_ms)
     }
 
-    /// Judges by the counts and by what a record says was seen before.
+    /// Evaluates the version by the statistics and by the evidence in a record.
     fn evaluate_with(&mut self, stored_evidence: Option<StoredEvidence>, now_ms: u64) -> Verdict {
         let target = target();
         let status = RolloutStatus {
@@ -222,7 +222,7 @@
 }
 
 cases! {
-    nobody_gets_the_target_before_a_box_leads => {
+    target_gets_no_session_before_the_first_record => {
         let rollout = rollout_with(None);
         for session in 0..100 {
             let rule = version_rule(Some(&rollout), query(&session.to_string()), at(1));
@@ -239,7 +239,8 @@
     }
 
     session_of_the_old_version_stays_in_the_first_half => {
-        // Sessions reach several boxes: hashing alone moved twenty of them on a calm day.
+        // The requests of a session reach several boxes: with hashing alone, a run without faults
+        // moved twenty sessions.
         let rollout = rollout_with(Some(record(RolloutState::Running, 1000, SECOND)));
         let stays = VersionQuery { stays_on_old_version: true, ..query("s") };
         expect_that!(served_by_target(&rollout, query("s"), 1), eq(true));
@@ -247,13 +248,13 @@
         expect_that!(served_by_target(&rollout, stays, 13_000), eq(true));
     }
 
-    session_of_the_target_keeps_it => {
+    session_on_the_target_stays_on_it => {
         let rollout = rollout_with(Some(record(RolloutState::Running, 0, SECOND)));
         let on_target = VersionQuery { session_version: Some("v2"), ..query("s") };
         expect_that!(served_by_target(&rollout, on_target, 1), eq(true));
     }
 
-    condemned_or_reverted_target_serves_nobody => {
+    rejected_or_reverted_target_serves_no_session => {
         let running = rollout_with(Some(record(RolloutState::Running, 1000, SECOND)));
         let rejected = VersionQuery { is_rejected: true, session_version: Some("v2"), ..query("s") };
         expect_that!(version_rule(Some(&running), rejected, at(1)).allows("v2"), eq(false));
@@ -262,7 +263,7 @@
         expect_that!(version_rule(Some(&reverted), on_target, at(1)).allows("v2"), eq(false));
     }
 
-    stages_wait_for_sessions_to_be_told => {
+    first_stage_waits_for_the_session_exchange => {
         let first = next_record(&order(), None, progress(0, false)).unwrap();
         expect_that!(first.permille, eq(0));
         let second = next_record(&order(), Some(&first), progress(2, false)).unwrap();
@@ -270,20 +271,20 @@
         expect_that!(next_record(&order(), Some(&second), progress(3, false)), none());
     }
 
-    target_without_a_proof_is_not_taken_further_and_taken_back_in_time => {
-        // Fails where no alarm is taken for a proof: 22 counted answers took a version from a
-        // tenth to eight tenths of the sessions at once.
+    unproven_target_stays_at_its_stage_and_is_reverted_in_time => {
+        // Fails if the absence of a rejection counts as a proof: after 22 responses a version went
+        // from a tenth to eight tenths of the sessions at once.
         let first = record(RolloutState::Running, 100, SECOND);
         for second in 2..22 {
             let next = next_record(&order(), Some(&first), progress(second, false));
             expect_that!(next.map_or(100, |next| next.permille), eq(100));
         }
-        let given_up = next_record(&order(), Some(&first), progress(23, false)).unwrap();
-        expect_that!(given_up.state, eq(RolloutState::Reverted));
+        let reverted = next_record(&order(), Some(&first), progress(23, false)).unwrap();
+        expect_that!(reverted.state, eq(RolloutState::Reverted));
     }
 
-    stages_follow_one_by_one => {
-        // Fails where a late proof skips the stage at which both versions bear a like load.
+    late_proof_skips_no_stage => {
+        // Fails if a late proof skips the stage at which both versions have a similar load.
         let mut current = record(RolloutState::Running, 100, SECOND);
         let mut stages = Vec::new();
         for second in 17..22 {
@@ -297,7 +298,7 @@
         expect_that!(stages, elements_are![eq(&250), eq(&400), eq(&1000)]);
     }
 
-    version_that_is_not_proved_under_load_gets_no_more => {
+    version_unproven_under_load_stays_at_its_stage => {
         let compared = record(RolloutState::Running, 400, 14 * SECOND);
         let mut unproved = progress(17, true);
         unproved.verdict.stage_evidence = EvidenceLevel::Favourable;
@@ -305,8 +306,9 @@
         expect_that!(next.map_or(400, |next| next.permille), eq(400));
     }
 
-    time_of_an_order_is_written_between_stages => {
-        // Boxes that were all killed together took a roll-out for as old as its last stage.
+    elapsed_time_is_written_between_stages => {
+        // Boxes that were all killed together took the age of the last stage for that of the
+        // rollout.
         let first = record(RolloutState::Running, 100, 2 * SECOND);
         expect_that!(next_record(&order(), Some(&first), progress(3, false)), none());
         let later = next_record(&order(), Some(&first), progress(4, false)).unwrap();
@@ -315,7 +317,7 @@
         expect_that!(later.stage_ms, eq(2000));
     }
 
-    stages_follow_from_the_operators_share => {
+    stage_sizes_follow_from_the_operators_share => {
         let narrow = ExposureBound { share: 0.05, ..bound() };
         expect_that!(narrow.middle_stage_permille(400), eq(135));
         let time = RolloutTime { elapsed: 2 * SECOND, duration: 24 * SECOND };
@@ -324,9 +326,9 @@
         expect_that!(first(2000), lt(first(200)));
     }
 
-    time_of_an_order_goes_on_though_every_box_restarts => {
-        // Boxes that were restarted in turn each counted on from the last record: at 22.5 s of a
-        // roll-out of 20 s they took it for 10.3 s, and a bad version was still on trial.
+    elapsed_time_continues_after_all_boxes_restart => {
+        // Boxes that were restarted in turn each counted on from the last record: 22.5 s into a
+        // rollout of 20 s they took it for 10.3 s old, and a bad version was still in use.
         let mut knowledge = Knowledge::default();
         knowledge.apply(Update::RolloutOrdered(order()), at(0));
         let first = record(RolloutState::Running, 45, 2 * SECOND);
@@ -338,11 +340,11 @@
         expect_that!(elapsed, some(eq(21 * SECOND)));
     }
 
-    time_that_passed_while_no_box_was_there_is_reckoned_with => {
-        // A bad version beside all boxes killed twice was written back at 19.9 s of its 20 s, and
-        // 0.1 s is too little for operators to read it: by the boxes' count it was 18.4 s, since
-        // what passes between the last writing and the kill is nobody's, 0.7 s each time. It was
-        // on trial for as much longer, once beyond what operators allow.
+    downtime_of_all_boxes_counts_towards_the_deadline => {
+        // With all boxes killed twice, a bad version was reverted at 19.9 s of its 20 s, which
+        // leaves operators 0.1 s to read it. The boxes had counted 18.4 s, since the time between
+        // the last write and a kill, 0.7 s each, was lost. The version was in use for as much
+        // longer, once beyond the operators' limits.
         let started = || {
             let mut knowledge = Knowledge::default();
             knowledge.apply(Update::RolloutOrdered(order()), at(0));
@@ -354,16 +356,16 @@
         let half_an_interval = order().duration / 40;
         let mut knowledge = started();
         expect_that!(unobserved(&knowledge, 0), eq(2 * half_an_interval));
-        // What is written from then on counts it once.
+        // Later records include it once.
         let mut next = record(RolloutState::Running, 45, 8 * SECOND);
         next.unseen_ms = 1200;
         knowledge.apply(Update::RolloutStage(next, 12), at(2000));
         expect_that!(unobserved(&knowledge, 2500), eq(2 * half_an_interval));
-        // A box that has lived on knows better.
+        // A box that was not restarted knows the time.
         let mut knowledge = started();
         knowledge.hear_elapsed(order().revision, 6_700 * SECOND / 1000, at(100));
         expect_that!(unobserved(&knowledge, 100), eq(half_an_interval));
-        // Who listened as it was written has missed nothing.
+        // A box that received the record when it was written has missed nothing.
         let mut knowledge = Knowledge::default();
         knowledge.apply(Update::RolloutOrdered(order()), at(0));
         let first = record(RolloutState::Running, 45, 2 * SECOND);
@@ -378,23 +380,25 @@
         expect_that!(state(2 * half_an_interval), eq(RolloutState::Reverted));
     }
 
-    box_that_was_restarted_does_not_take_what_it_counted_for_the_whole => {
-        // A sound version was taken back for this: a box that was restarted as the middle stages
-        // began had counted 58 of 161 requests to the new version, all boxes 96 of 487.
+    restarted_box_does_not_extrapolate_its_stage_to_the_whole_rollout => {
+        // Guards against reverting a good version: a box that was restarted at the start of the
+        // middle stages had counted 58 of 161 requests to the new version, all boxes together 96 of
+        // 487.
         let time = RolloutTime { elapsed: 14_500 * SECOND / 1000, duration: 20 * SECOND };
         let requests = |first_at| RequestCounts { new_version: 58, all: 161, first_at: Some(first_at) };
         expect_that!(bound().is_exhausted(requests(8 * SECOND), time), eq(false));
         expect_that!(bound().is_exhausted(requests(Duration::ZERO), time), eq(true));
     }
 
-    share_is_bounded_by_what_a_restarted_box_counted => {
-        // All boxes were restarted half-way, and every second request goes to the version since.
+    requests_counted_after_a_restart_can_exhaust_the_share => {
+        // All boxes were restarted half-way, and since then half of the requests go to the new
+        // version.
         let time = RolloutTime { elapsed: 16 * SECOND, duration: 20 * SECOND };
         let requests = RequestCounts { new_version: 150, all: 300, first_at: Some(10 * SECOND) };
         expect_that!(bound().is_exhausted(requests, time), eq(true));
     }
 
-    counts_of_boxes_begin_with_the_first_of_them => {
+    merged_counts_begin_with_the_earliest_request => {
         let request = |seconds, is_new_version| SampledRequest { elapsed: seconds * SECOND, ..RolloutFixture::sampled_request(is_new_version) };
         let mut requests = RequestCounts::default();
         requests.record(request(5, true));
@@ -407,18 +411,19 @@
         expect_that!(requests, eq(RequestCounts { new_version: 2, all: 3, first_at: Some(2 * SECOND) }));
     }
 
-    roll_out_is_overdue_when_the_leading_box_does_not_write => {
-        // Time is written each 1.2 s of 24 s; another second and a half may pass.
+    record_is_overdue_when_the_leading_box_does_not_write => {
+        // The time is written every 1.2 s of 24 s, and may be overdue by 1.5 s.
         let first = record(RolloutState::Running, 100, 4 * SECOND);
         expect_that!(is_record_overdue(&order(), Some(&first), 6 * SECOND), eq(false));
         expect_that!(is_record_overdue(&order(), Some(&first), 7 * SECOND), eq(true));
-        // Nobody has written of this order yet.
+        // There is no record of this order yet.
         expect_that!(is_record_overdue(&order(), None, SECOND), eq(false));
         expect_that!(is_record_overdue(&order(), None, 2 * SECOND), eq(true));
     }
 
-    box_that_has_just_started_sends_a_version_on_trial_nothing => {
-        // It cannot have been told yet that another box found the version bad.
+    box_that_has_just_started_sends_nothing_to_an_unproven_version => {
+        // Other boxes may have rejected the version, of which this one cannot have been notified
+        // yet.
         let just_started = VersionQuery { has_just_started: true, session_version: Some("v2"), ..query("s") };
         let on_trial = rollout_with(Some(record(RolloutState::Running, 400, SECOND)));
         expect_that!(version_rule(Some(&on_trial), just_started, at(1)).allows("v2"), eq(false));
@@ -440,7 +445,7 @@
         expect_that!(done_at, some(lt(22)));
     }
 
-    bad_target_is_reverted_and_stays_so => {
+    rejected_target_is_reverted_for_good => {
         let running = record(RolloutState::Running, 100, SECOND);
         let bad = RolloutProgress { is_rejected: true, ..progress(5, false) };
         let reverted = next_record(&order(), Some(&running), bad).unwrap();
@@ -448,7 +453,7 @@
         expect_that!(next_record(&order(), Some(&reverted), progress(20, true)), none());
     }
 
-    new_order_does_not_take_a_rejected_version_for_the_old_one => {
+    new_order_does_not_use_a_rejected_version_as_the_old_one => {
         let mut reverted = record(RolloutState::Reverted, 0, SECOND);
         reverted.rejected = vec!["v2".to_owned()];
         let next_order = RolloutOrder { target: "v3".to_owned(), revision: 20, ..order() };
@@ -456,7 +461,7 @@
         expect_that!(next.rejected, elements_are![eq("v2")]);
     }
 
-    failing_version_is_found_bad_within_fifty_answers => {
+    failing_version_is_rejected_within_fifty_responses => {
         let mut fixture = RolloutFixture::new("box");
         let mut responses = 0;
         while !fixture.is_rejected() && responses < 200 {
@@ -468,7 +473,7 @@
         expect_that!(responses, lt(50));
     }
 
-    slow_version_is_found_bad => {
+    slow_version_is_rejected => {
         let mut fixture = RolloutFixture::new("box");
         for response in 0..120 {
             let response = if response % 3 == 0 { Response::Slow } else { Response::Normal };
@@ -477,7 +482,7 @@
         expect_that!(fixture.is_rejected(), eq(true));
     }
 
-    version_bad_on_one_route_is_found => {
+    version_failing_on_one_route_is_rejected => {
         let mut fixture = RolloutFixture::new("box");
         for response in 0..100 {
             let response = if response % 2 == 0 { Response::Failed } else { Response::Normal };
@@ -489,7 +494,7 @@
         expect_that!(fixture.is_rejected(), eq(true));
     }
 
-    version_slow_on_one_route_is_found => {
+    version_slow_on_one_route_is_rejected => {
         let mut fixture = RolloutFixture::new("box");
         for response in 0..60 {
             let response = if response % 2 == 0 { Response::Slow } else { Response::Normal };
@@ -499,7 +504,7 @@
         expect_that!(fixture.is_rejected(), eq(true));
     }
 
-    good_version_with_some_failures_is_kept => {
+    good_version_with_some_failures_is_not_rejected => {
         let mut fixture = RolloutFixture::new("box");
         for response in 0..5000 {
             let response = match response % 25 {
@@ -512,7 +517,7 @@
         }
     }
 
-    counts_of_other_boxes_add_up => {
+    reports_of_other_boxes_count_once => {
         let mut one = RolloutFixture::new("one");
         let mut other = RolloutFixture::new("other");
         for _ in 0..5 {
@@ -528,7 +533,7 @@
         expect_that!(one.is_rejected(), eq(true));
     }
 
-    late_report_does_not_take_the_place_of_a_newer_one => {
+    out_of_order_report_does_not_replace_a_newer_one => {
         let mut one = RolloutFixture::new("one");
         let mut other = RolloutFixture::new("other");
         other.record(true, "recap", Response::Normal);
@@ -541,7 +546,7 @@
         expect_that!(one.evaluate(0).latency.responses, eq(2));
     }
 
-    slow_is_told_against_the_old_version_on_the_same_route => {
+    times_are_compared_with_the_old_version_on_the_same_route => {
         let is_rejected_with = |route, new| {
             let mut fixture = RolloutFixture::new("box");
             for _ in 0..20 {
@@ -558,7 +563,7 @@
         expect_that!(is_rejected_with("unheard of", 0.1), eq(false));
     }
 
-    plain_version_that_slows_a_quarter_of_its_answers_is_found => {
+    version_that_slows_a_quarter_of_its_plain_responses_is_rejected => {
         let mut fixture = RolloutFixture::new("box");
         for response in 0..60 {
             let response = if response % 4 == 0 { Response::Slow } else { Response::Normal };
@@ -567,8 +572,8 @@
         expect_that!(fixture.is_rejected(), eq(true));
     }
 
-    answers_too_short_to_be_timed_hide_no_slow_ones => {
-        // Fails where they count as fast ones: half of the users' answers have three events.
+    untimed_responses_do_not_hide_slow_ones => {
+        // Fails if untimed responses count as fast: half of the users' responses have three events.
         let mut fixture = RolloutFixture::new("box");
         for response in 0..80 {
             let response = if response % 2 == 0 { Response::Slow } else { Response::Untimed };
@@ -577,7 +582,7 @@
         expect_that!(fixture.is_rejected(), eq(true));
     }
 
-    engine_that_slows_nearly_all_answers_is_found_bad => {
+    engine_that_slows_most_responses_is_rejected => {
         let mut fixture = RolloutFixture::new("box");
         for response in 0..40 {
             let response = if response % 6 == 0 { Response::Normal } else { Response::Slow };
@@ -586,9 +591,9 @@
         expect_that!(fixture.is_rejected(), eq(true));
     }
 
-    engine_that_slows_four_answers_in_ten_is_found_bad => {
-        // Fails where four slow answers in ten are borne of engines, as they were: with few
-        // requests at a time an engine slows only those that the version slows.
+    engine_that_slows_four_responses_in_ten_is_rejected => {
+        // Fails if an engine may slow four responses in ten: with few concurrent requests, an
+        // engine slows only those that the version slows.
         let mut fixture = RolloutFixture::new("box");
         for response in 0..100 {
             let response = if response % 5 < 2 { Response::Slow } else { Response::Normal };
@@ -597,9 +602,9 @@
         expect_that!(fixture.is_rejected(), eq(true));
     }
 
-    engine_that_reads_all_prompts_anew_for_a_while_is_kept => {
-        // A good version's answers were held up when a stage moved many sessions to it: four
-        // in ten by a third beyond the old one's spread.
+    engine_with_an_empty_prompt_cache_is_not_rejected => {
+        // A good version's responses were delayed when a stage moved many sessions to it: four in
+        // ten by a third beyond the spread of the old version.
         let mut fixture = RolloutFixture::new("box");
         for response in 0..100 {
             fixture.record(false, "recap", Response::Normal);
@@ -610,9 +615,9 @@
         expect_that!(fixture.is_rejected(), eq(false));
     }
 
-    crowd_that_slows_both_versions_alike_condemns_none => {
-        // Fails where a time is compared with one learned before: a running mean of what was
-        // usual took such versions for slow.
+    load_that_slows_both_versions_alike_rejects_neither => {
+        // Fails if times are compared with earlier ones: by a running mean, such versions were
+        // slow.
         let mut fixture = RolloutFixture::new("box");
         for response in 0..200 {
             let usual = 0.1 * (1.0 + f64::from(response * 7 % 25) / 100.0);
@@ -623,8 +628,9 @@
         expect_that!(fixture.is_rejected(), eq(false));
     }
 
-    slow_answers_count_while_they_are_under_way => {
-        // Fails where an answer is counted when it has come: those of a slow version come last.
+    slow_responses_count_while_in_flight => {
+        // Fails if a response counts only once it is complete: those of a slow version complete
+        // last.
         let mut fixture = RolloutFixture::new("box");
         let kind = ResponseKind { route: "recap", metric: LatencyMetric::ResponseTime };
         let mut in_flight = Vec::new();
@@ -637,8 +643,8 @@
         expect_that!(fixture.monitor.rejection(10), some(eq(&RejectionReason::Slow)));
     }
 
-    answers_that_have_just_begun_say_nothing_against_a_version => {
-        // Fails where all that is under way counts as slow: after a step of the stage the new
+    requests_just_sent_are_no_evidence_against_a_version => {
+        // Fails if every request in flight counts as slow: after a change of stage, the new
         // version's requests are younger than the old one's.
         let mut fixture = RolloutFixture::new("box");
         let kind = ResponseKind { route: "recap", metric: LatencyMetric::ResponseTime };
@@ -653,9 +659,9 @@
         expect_that!(fixture.evaluate(520).evidence, eq(EvidenceLevel::Insufficient));
     }
 
-    failures_that_the_old_version_shows_too_are_no_fault_of_the_new_one => {
-        // Fails where a fixed part of failures is tolerated: one bookmark in seven gets 500
-        // from every version.
+    failure_rate_of_the_old_version_is_tolerated => {
+        // Fails if the tolerated failure rate is fixed: one bookmark request in seven gets 500 from
+        // every version.
         let mut fixture = RolloutFixture::new("box");
         for response in 0..2000 {
             let response = if response % 7 == 0 { Response::Failed } else { Response::Normal };
@@ -665,9 +671,9 @@
         }
     }
 
-    version_that_fails_one_answer_in_ten_is_not_proved => {
-        // Fails where twice what the guard bears is taken for little: such a version was brought
-        // in on five of nine days.
+    version_that_fails_one_response_in_ten_is_not_proved => {
+        // Fails if twice the failure rate that the guard tolerates counts as low: such a version
+        // was rolled out in five of nine runs.
         let evidence = |fails_every: u32| {
             let mut fixture = RolloutFixture::new("box");
             for response in 0..100 {
@@ -681,16 +687,16 @@
     }
 
     version_that_slows_batches_is_not_proved => {
-        // Fails where the tail of the ranks alone is looked at: a version that slows some requests
-        // twofold slows those beside them by a tenth or two.
-        let evidence = |times: f64| {
+        // Fails if only the highest ranks are evaluated: a version that slows some requests twofold
+        // slows those in the same batch by 10 to 20 %.
+        let evidence = |slowdown: f64| {
             let mut fixture = RolloutFixture::new("box");
             let kind = ResponseKind { route: "recap", metric: LatencyMetric::EventInterval };
             for response in 0..60 {
                 let usual = 0.03 * (1.0 + f64::from(response * 7 % 25) / 100.0);
                 for is_new_version in [false, true] {
                     let timer = fixture.monitor.local_statistics().start_timer(RolloutFixture::sampled_request(is_new_version), kind, 1.0, at(0));
-                    timer.record_duration(if is_new_version { usual * times } else { usual });
+                    timer.record_duration(if is_new_version { usual * slowdown } else { usual });
                     fixture.record(is_new_version, "recap", Response::Normal);
                 }
             }
@@ -700,9 +706,9 @@
         expect_that!(evidence(0.95), ge(EvidenceLevel::Sufficient));
     }
 
-    answers_of_the_faster_half_do_not_run_the_time_to_stop => {
-        // Fails where every answer counts as bad: sound versions were taken back five seconds
-        // after their fiftieth answer, with odds of e^-20 that they are bad.
+    responses_of_the_faster_half_do_not_start_the_rollback_clock => {
+        // Fails if every response counts as possibly bad: good versions were reverted five seconds
+        // after their fiftieth response, with a likelihood ratio of e^-20 of being bad.
         let mut fixture = RolloutFixture::new("box");
         for _ in 0..60 {
             fixture.record_both("recap", Response::Normal);
@@ -717,7 +723,7 @@
         expect_that!(bound().is_rollback_clock_running(possibly_bad), eq(true));
     }
 
-    version_that_fails_more_than_the_old_one_is_found => {
+    version_that_fails_more_than_the_old_one_is_rejected => {
         let mut fixture = RolloutFixture::new("box");
         for response in 0..90 {
             let fails = |one_in: usize| match response % one_in {
@@ -730,9 +736,10 @@
         expect_that!(fixture.is_rejected(), eq(true));
     }
 
-    what_was_seen_outlasts_the_boxes_that_counted_it => {
-        // A sound version was taken back since boxes that were all killed judged it anew.
-        let mut fixture = RolloutFixture::new("one life");
+    evidence_for_a_version_survives_a_restart_of_all_boxes => {
+        // A good version was reverted because boxes that were all killed evaluated it by the
+        // responses after their restart alone.
+        let mut fixture = RolloutFixture::new("before restart");
         for _ in 0..60 {
             fixture.record_both("recap", Response::Normal);
         }
@@ -742,9 +749,9 @@
         let same_stage = RolloutProgress { verdict: before, ..progress(6, false) };
         let written = next_record(&order(), Some(&first), same_stage).unwrap();
         let text = serde_json::to_string(&written).unwrap();
-        println!("a record of {} bytes", text.len());
+        println!("record size: {} bytes", text.len());
         let read: RolloutRecord = serde_json::from_str(&text).unwrap();
-        let mut fixture = RolloutFixture::new("next life");
+        let mut fixture = RolloutFixture::new("after restart");
         let after = fixture.evaluate_with(Some(*read.seen), 0);
         expect_that!(after.evidence, eq(before.evidence));
         expect_that!(after.stage_evidence, eq(before.stage_evidence));
@@ -753,19 +760,19 @@
         expect_that!(fixture.evaluate(0).evidence, eq(EvidenceLevel::Insufficient));
     }
 
-    what_speaks_against_a_version_outlasts_the_boxes_that_counted_it => {
-        let mut fixture = RolloutFixture::new("one life");
+    evidence_against_a_version_survives_a_restart_of_all_boxes => {
+        let mut fixture = RolloutFixture::new("before restart");
         for response in 0..18 {
             let response = if response % 2 == 0 { Response::Slow } else { Response::Normal };
             fixture.record_both("recap", response);
         }
         let before = fixture.evaluate_with(Some(StoredEvidence::default()), 0);
-        let after = RolloutFixture::new("next life").evaluate_with(Some(before.stored_evidence), 0);
+        let after = RolloutFixture::new("after restart").evaluate_with(Some(before.stored_evidence), 0);
         expect_that!(before.latency.max_cusum, gt(2.0));
         expect_that!(after.latency.max_cusum, near(before.latency.max_cusum, 0.01));
     }
 
-    what_a_box_counted_itself_is_not_counted_once_more_from_the_record => {
+    own_statistics_are_not_counted_again_from_the_record => {
         let mut fixture = RolloutFixture::new("box");
         for _ in 0..60 {
             fixture.record_both("recap", Response::Normal);
@@ -774,7 +781,7 @@
         expect_that!(fixture.evaluate_with(Some(stored_evidence), 0).latency.responses, eq(60));
     }
 
-    stage_is_judged_by_its_own_answers_though_others_are_kept => {
+    stage_is_evaluated_by_its_own_responses => {
         let mut fixture = RolloutFixture::new("box");
         for _ in 0..60 {
             fixture.record_both("recap", Response::Normal);
@@ -784,20 +791,20 @@
         let moving = RolloutProgress { verdict, ..progress(13, true) };
         let next = next_record(&order(), Some(&first), moving).unwrap();
         expect_that!(next.permille, gt(100));
-        let verdict = RolloutFixture::new("next life").evaluate_with(Some(*next.seen), 0);
+        let verdict = RolloutFixture::new("after restart").evaluate_with(Some(*next.seen), 0);
         expect_that!(verdict.stage_evidence, eq(EvidenceLevel::Insufficient));
     }
 
-    record_of_a_box_that_kept_nothing_is_read => {
+    record_without_evidence_is_read => {
         let text = r#"{"service":"engine","target":"v2","order_revision":10,"state":"Running",
             "permille":100,"elapsed_ms":1000,"rejected":[]}"#;
         let read: RolloutRecord = serde_json::from_str(text).unwrap();
         expect_that!(*read.seen, eq(StoredEvidence::default()));
     }
 
-    last_step_needs_no_proof_of_its_own_where_the_operators_share_bears_it => {
-        // Ten requests a second: the stage has too few answers for a proof, and all sessions for
-        // the rest of the time are within what a bad version may have.
+    last_stage_needs_no_proof_under_load_where_the_share_allows_it => {
+        // At ten requests a second, the stage has too few responses for a proof, but serving all
+        // sessions for the rest of the time is within the limits on a bad version.
         let compared = record(RolloutState::Running, 400, 14 * SECOND);
         let next = |all, stage_evidence| {
             let mut late = progress(22, true);
@@ -811,9 +818,9 @@
         expect_that!(next(2200, EvidenceLevel::Favourable), eq(400));
     }
 
-    finding_of_one_order_says_nothing_of_the_next => {
-        // A version may be ordered anew once it is mended. Counts and findings went by its
-        // name, so a roll-out that was ordered anew would have been taken back at once.
+    rejection_does_not_apply_to_the_next_order => {
+        // A fixed version may be ordered again. When statistics and rejections were kept by version
+        // name, the new rollout would have been reverted at once.
         let mut fixture = RolloutFixture::new("box");
         for _ in 0..50 {
             fixture.record(true, "recap", Response::Failed);
@@ -835,16 +842,16 @@
         expect_that!(fixture.monitor.rejection(10), none());
     }
 
-    box_that_is_told_of_a_bad_version_sends_it_nothing => {
+    rejection_by_a_peer_is_recorded_but_not_forwarded => {
         let mut monitor = VersionMonitor::new("box");
         expect_that!(monitor.accept_peer_rejection(10), eq(true));
         expect_that!(monitor.accept_peer_rejection(10), eq(false));
         expect_that!(monitor.rejection(10), some(eq(&RejectionReason::ReportedByPeer)));
-        // What it was told it does not tell on: the box that found it tells everybody.
+        // A box does not forward it: the one that rejected the version notifies all others.
         expect_that!(monitor.local_rejections(), is_empty());
     }
 
-    boxes_name_the_sessions_that_the_first_stage_could_move => {
+    boxes_exchange_the_sessions_that_the_first_stage_could_move => {
         let mut sessions = SessionVersions::new(5 * SECOND);
         for session in 0..1000 {
             sessions.record_version(&session.to_string(), "v1", at(0));
@@ -857,7 +864,7 @@
         expect_that!(moved.count(), eq(old.len()));
     }
 
-    sessions_end => {
+    sessions_expire => {
         let mut sessions = SessionVersions::new(5 * SECOND);
         sessions.record_version("s", "v1", at(0));
         expect_that!(sessions.current_version("s", at(4000)), some(eq("v1")));
