--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -2,7 +2,7 @@
 //!
 //! It serves callers over HTTP/1.1, follows the operators' configuration in the
 //! platform's store, and keeps nothing that has to last. All names of the deployment
-//! come from an adapter: [`Headers`] and [`ControlStore`].
+//! come from an adapter: [`HeaderNames`] and [`ControlStore`].
 //!
 //! A request goes through [`admit`] (what does it ask for, and may it be served), [`place`]
 //! (which upstream and which model), [`attempt`] (one try at one upstream) and [`answer`] (an
@@ -27,10 +27,10 @@
 use crate::store::StoreError;
 use admit::listen;
 use admit::routes::{EVEN_RANK, Route, RouteKind};
-use attempt::connect::Connections;
-use attempt::crash::{self, CrashWatch};
+use attempt::connect::ConnectionPool;
+use attempt::crash_detection::{self, CrashDetector};
+use attempt::headers::HeaderNames;
 use attempt::probe;
-use attempt::protocol::Headers;
 use attempt::quarantine::Quarantine;
 use attempt::retries::RetryWindow;
 use control::knowledge::{Knowledge, Proof};
@@ -42,8 +42,8 @@
 use peers::hubs::{Hubs, choose_hubs};
 use peers::messages;
 use peers::outbox::Outbox;
-use place::loads::{Loads, LongReads};
-use place::reading::{ModelPace, ReadingRates};
+use place::peer_loads::{LongPrefillOutbox, PeerLoads};
+use place::prefill_rate::{PrefillModel, PrefillRates};
 use settings::GatewaySettings;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -75,7 +75,7 @@
 pub struct Gateway {
     settings: RefCell<Rc<GatewaySettings>>,
     /// The names of the deployment's headers.
-    pub headers: Headers,
+    pub headers: HeaderNames,
     /// What the box knows.
     pub knowledge: RefCell<Knowledge>,
     /// The store's items, to be passed on.
@@ -87,9 +87,9 @@
     /// Rings when the store's items have changed.
     pub news: Notify,
     /// Resting connections to upstreams.
-    pub connections: Connections,
+    pub connections: ConnectionPool,
     /// Runs that broke off, whose upstreams may have crashed.
-    pub crashes: CrashWatch,
+    pub crashes: CrashDetector,
     /// Requests that crash their upstreams.
     pub quarantine: Quarantine,
     /// Upstreams that have said that they leave, by their hashes, to be told to other boxes.
@@ -105,11 +105,11 @@
     /// What was seen of versions under roll-out.
     pub versions: RefCell<VersionWatch>,
     /// How fast engines read prompts.
-    pub reading: ReadingRates,
+    pub reading: PrefillRates,
     /// What the other boxes have under way.
-    pub loads: RefCell<Loads>,
+    pub loads: RefCell<PeerLoads>,
     /// Long reads that the other boxes have still to be told of.
-    pub long_reads: LongReads,
+    pub long_reads: LongPrefillOutbox,
     /// Log lines and metrics.
     pub telemetry: Telemetry,
     /// The name of this life of the box.
@@ -126,7 +126,7 @@
     /// Makes a box that knows nothing yet.
     pub fn new(
         settings: GatewaySettings,
-        headers: Headers,
+        headers: HeaderNames,
         metrics: &Metrics,
         now: Now,
     ) -> Rc<Self> {
@@ -141,16 +141,16 @@
             hubs: Hubs::default(),
             asking: Asking::default(),
             news: Notify::new(),
-            connections: Connections::default(),
-            crashes: CrashWatch::default(),
+            connections: ConnectionPool::default(),
+            crashes: CrashDetector::default(),
             quarantine: Quarantine::default(),
             leaving: Outbox::default(),
             callers: Default::default(),
             retries: RefCell::default(),
             loads: RefCell::default(),
             heard: RefCell::default(),
-            long_reads: LongReads::default(),
-            reading: ReadingRates::default(),
+            long_reads: LongPrefillOutbox::default(),
+            reading: PrefillRates::default(),
             telemetry: Telemetry::new(metrics),
             life,
             lease: Cell::new(None),
@@ -180,7 +180,9 @@
 
     /// Returns how long an engine of a service reads so many tokens for a model.
     pub fn reading_time(&self, service: &str, model: Option<&str>, tokens: f64) -> Duration {
-        self.with_pace(service, model, |pace| self.reading.time(pace, tokens))
+        self.with_pace(service, model, |pace| {
+            self.reading.prefill_time(pace, tokens)
+        })
     }
 
     /// Tells whether a model is the dearest of its service, or the only one.
@@ -191,7 +193,7 @@
     /// Learns from a first event for which an engine read so many tokens and nothing else.
     pub fn learn_rate(&self, service: &str, model: &str, tokens: f64, took: Duration) {
         self.with_pace(service, Some(model), |pace| {
-            self.reading.learn(pace, tokens, took);
+            self.reading.record(pace, tokens, took);
         });
     }
 
@@ -199,7 +201,7 @@
         &self,
         service: &str,
         model: Option<&str>,
-        use_it: impl FnOnce(ModelPace<'_>) -> T,
+        use_it: impl FnOnce(PrefillModel<'_>) -> T,
     ) -> T {
         let knowledge = self.knowledge.borrow();
         let engine = knowledge
@@ -210,7 +212,7 @@
             (Some(engine), Some(model)) => engine.price_part(model),
             _ => 1.0,
         };
-        use_it(ModelPace {
+        use_it(PrefillModel {
             name: model.unwrap_or_default(),
             price_part,
         })
@@ -222,7 +224,7 @@
         let window = windows
             .entry(service.to_owned())
             .or_insert_with(|| RetryWindow::new(self.settings().bounds.retries));
-        window.share_among(self.knowledge.borrow().box_count());
+        window.set_box_count(self.knowledge.borrow().box_count());
         use_it(window)
     }
 
@@ -396,7 +398,7 @@
 /// `reload` reads the settings again when the operators ask for it.
 pub async fn run(
     settings: GatewaySettings,
-    headers: Headers,
+    headers: HeaderNames,
     store: Rc<dyn ControlStore>,
     reload: impl Fn() -> Result<GatewaySettings> + 'static,
 ) -> Result<()> {
@@ -406,8 +408,8 @@
     let server = listen::serve_callers(&gw)?;
     listen::serve_readiness(&gw, &metrics)?;
     actix_rt::spawn(follow::follow(gw.clone(), store.clone()));
-    actix_rt::spawn(probe::probe_unconnectable(gw.clone()));
-    actix_rt::spawn(crash::check_upstreams(gw.clone()));
+    actix_rt::spawn(probe::probe_unreachable_upstreams(gw.clone()));
+    actix_rt::spawn(crash_detection::check_interrupted_upstreams(gw.clone()));
     actix_rt::spawn(leading::lead(gw.clone(), store.clone()));
     actix_rt::spawn(follow::tidy(gw.clone()));
     let exchange = messages::exchange(gw.clone(), store.clone());
--- a/src/gateway/admit/job.rs
+++ b/src/gateway/admit/job.rs
@@ -8,22 +8,25 @@
 use crate::gateway::Gateway;
 use crate::gateway::answer::refusal::Ran;
 use crate::gateway::attempt::connect::http1_types;
-use crate::gateway::attempt::crash::BrokenRun;
+use crate::gateway::attempt::crash_detection::InterruptedRun;
 use crate::gateway::attempt::exchange::{
-    Failure, NotRun, Outgoing, Tried, TryLimits, try_upstream,
+    NotRunReason, TryOptions, TryOutcome, UnknownReason, UpstreamRequest, try_upstream,
 };
-use crate::gateway::attempt::patience::Patience;
-use crate::gateway::attempt::protocol::{ANY_MODEL, urgency};
-use crate::gateway::attempt::retries::Repeat;
-use crate::gateway::attempt::tries::Tries;
+use crate::gateway::attempt::headers::{ANY_MODEL, urgency};
+use crate::gateway::attempt::response_timeout::ResponseTimeout;
+use crate::gateway::attempt::retries::RetryReason;
+use crate::gateway::attempt::tries::TryHistory;
 use crate::gateway::attempt::upstream::Upstream;
 use crate::gateway::control::store::UpstreamLife;
-use crate::gateway::place::candidates::Pause;
-use crate::gateway::place::choose::{Choice, Wish, choose, choose_for_trial, compared, draw};
-use crate::gateway::place::engine_cost::{Beginning, SharedPrompt};
-use crate::gateway::place::keepers::Spread;
-use crate::gateway::place::models::Expected;
-use crate::gateway::place::reading;
+use crate::gateway::place::cache_affinity::CacheReplication;
+use crate::gateway::place::candidates::BackOff;
+use crate::gateway::place::choose::{
+    PlacementChoice, PlacementParams, choose_for_trial, choose_placement, engines_to_compare,
+    stable_hash,
+};
+use crate::gateway::place::engine_cost::{PrefixSource, SharedPrompt};
+use crate::gateway::place::escalation::ExpectedFirstEvent;
+use crate::gateway::place::prefill_rate;
 use crate::gateway::versions::tally::Timed;
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
@@ -73,7 +76,7 @@
     /// Whether the router chooses the model.
     pub chooses_model: bool,
     /// What the tries so far prove.
-    pub tries: Tries,
+    pub tries: TryHistory,
     /// Whether it is on trial for the crashes that it was at.
     pub trial: Cell<Trial>,
     /// A plain answer under way that is timed.
@@ -100,9 +103,9 @@
     /// The last event that the caller has, where a stream goes on.
     pub resume_after: Option<&'a str>,
     /// How long to wait for the head.
-    pub head: Patience,
+    pub head: ResponseTimeout,
     /// What lets this try be a second one.
-    pub repeat: Repeat,
+    pub repeat: RetryReason,
 }
 
 /// Why no try was made.
@@ -111,7 +114,7 @@
     /// No upstream is left to ask.
     NoUpstream,
     /// No upstream takes a request of this box now, and the first one will after a while.
-    Paused(Pause),
+    Paused(BackOff),
     /// Operators have evacuated the halls of all upstreams.
     Evacuated,
     /// The request may not be sent once more.
@@ -133,14 +136,14 @@
     /// Tells whether one more run is allowed by the route and by what already ran.
     pub fn may_run_again(&self) -> bool {
         let repeatable = self.route.kind.is_repeatable() || self.tries.ran() == Ran::Nowhere;
-        repeatable && self.tries.runs() < self.route.attempts.max(1)
+        repeatable && self.tries.possible_runs() < self.route.attempts.max(1)
     }
 
     /// Tells whether another upstream could be asked now: the route, what already ran and
     /// the budget allow it. An answer is not given up otherwise.
     pub fn can_repeat(&self, gw: &Gateway, now: Now) -> bool {
         let has_room = gw.with_retries(&self.service, |window| {
-            window.has_room(Repeat::Failure, now)
+            window.has_budget(RetryReason::Failure, now)
         });
         has_room && self.may_run_again()
     }
@@ -148,7 +151,7 @@
     /// Tells whether the next run is the last one that the route allows, so that cutting
     /// it off would end the request.
     pub fn has_last_run_left(&self) -> bool {
-        self.tries.runs() + 1 >= self.route.attempts.max(1)
+        self.tries.possible_runs() + 1 >= self.route.attempts.max(1)
     }
 
     /// Tells whether a request that no upstream took should be offered once more after a
@@ -167,7 +170,7 @@
     ///
     /// A try that reached an upstream before makes this one a repeat, which the budget
     /// has to allow.
-    pub async fn try_once(&self, gw: &Gateway, plan: TryPlan<'_>) -> Result<Tried, NoTry> {
+    pub async fn try_once(&self, gw: &Gateway, plan: TryPlan<'_>) -> Result<TryOutcome, NoTry> {
         let now = Now::read();
         let left = self.left(now);
         if left <= ANSWER_MARGIN {
@@ -175,9 +178,9 @@
         }
         self.admit_suspect(gw, now)?;
         let mut candidates = gw.candidates(&self.service, &self.session, now);
-        let tried = self.tries.tried();
+        let tried = self.tries.tried_upstreams();
         if self.is_on_trial() {
-            let seed = draw(&self.fingerprint.to_string());
+            let seed = stable_hash(&self.fingerprint.to_string());
             let alone = choose_for_trial(&candidates, &tried, seed, now);
             candidates = alone.into_iter().collect();
         }
@@ -187,15 +190,16 @@
         if !self.pay(gw, plan.repeat, now) {
             return Err(NoTry::OutOfBudget);
         }
-        self.tries.exclude(upstream);
-        upstream.take_turn(now);
-        let limits = TryLimits {
-            head: plan.head.within(left),
-            reading: choice.reading,
-            tells_rate: choice.tells_rate(),
-            may_reuse: self.route.kind.is_repeatable(),
+        self.tries.exclude_upstream(upstream);
+        upstream.record_warm_up_send(now);
+        let limits = TryOptions {
+            head_timeout: plan.head.capped_at(left),
+            prefill: choice.prefill,
+            measures_prefill_rate: choice.measures_prefill_rate(),
+            may_reuse_connection: self.route.kind.is_repeatable(),
         };
-        gw.long_reads.note(&gw.life, upstream, limits.reading);
+        gw.long_reads
+            .push_if_long(&gw.life, upstream, limits.prefill);
         let out = self.outgoing(gw, &choice, plan, now);
         let timed = gw.time_try(self, &choice, now);
         let tried = try_upstream(&gw.connections, &gw.headers, upstream, out, limits).await;
@@ -212,7 +216,7 @@
         if gw.is_evacuated(&self.service) {
             return NoTry::Evacuated;
         }
-        let pause = gw.shortest_pause(&self.service, &self.session, now);
+        let pause = gw.shortest_back_off(&self.service, &self.session, now);
         pause.map_or(NoTry::NoUpstream, NoTry::Paused)
     }
 
@@ -246,11 +250,11 @@
             true => Part::OnTrial,
             false => Part::Present,
         };
-        let run = BrokenRun {
+        let run = InterruptedRun {
             request: self.fingerprint,
             part,
         };
-        gw.run_broke_off(run, upstream, now);
+        gw.record_interrupted_run(run, upstream, now);
         self.end_trial();
     }
 
@@ -275,16 +279,16 @@
         tried: &[UpstreamLife],
         model: Option<&str>,
         now: Now,
-    ) -> Option<Choice> {
+    ) -> Option<PlacementChoice> {
         let shared = self.shared_name(model);
-        let wish = Wish {
+        let wish = PlacementParams {
             hall: &gw.settings().hall,
             prompt: self.shared_prompt(gw, shared.as_deref(), model),
             tried,
-            draw: draw(&self.request_id),
-            compared: compared(gw.knowledge.borrow().box_count()),
+            seed: stable_hash(&self.request_id),
+            engines_to_compare: engines_to_compare(gw.knowledge.borrow().box_count()),
         };
-        choose(candidates, wish, now)
+        choose_placement(candidates, wish, now)
     }
 
     /// Names the shared beginning of the prompt; engines keep what they have read by model.
@@ -303,20 +307,20 @@
         let shared_tokens = self.prompt.shared_tokens as f64;
         let time = |tokens: f64| gw.reading_time(&self.service, model, tokens);
         Some(SharedPrompt {
-            shared: shared?,
-            spread: match gw.is_dearest(&self.service, model) {
-                true => Spread::OneEngine,
-                false => Spread::OneEngineAHall,
+            prefix_key: shared?,
+            replication: match gw.is_dearest(&self.service, model) {
+                true => CacheReplication::OneEngine,
+                false => CacheReplication::OneEnginePerHall,
             },
-            whole: time(whole),
-            rest: time(whole - shared_tokens),
+            full_prefill: time(whole),
+            suffix_prefill: time(whole - shared_tokens),
             shared_tokens,
-            bytes: self.body.len(),
+            request_bytes: self.body.len(),
         })
     }
 
     /// Returns how long a model's first event would take from now on.
-    pub fn expected(&self, gw: &Gateway, model: Option<&str>, now: Now) -> Expected {
+    pub fn expected(&self, gw: &Gateway, model: Option<&str>, now: Now) -> ExpectedFirstEvent {
         let candidates = gw.candidates(&self.service, &self.session, now);
         self.expected_among(gw, &candidates, model, now)
     }
@@ -327,19 +331,24 @@
         candidates: &[Rc<Upstream>],
         model: Option<&str>,
         now: Now,
-    ) -> Expected {
+    ) -> ExpectedFirstEvent {
         let choice = self.place(gw, candidates, &[], model, now);
         let (ahead, reading) = choice.map_or((Duration::ZERO, Duration::ZERO), |choice| {
-            (choice.ahead, choice.reading)
+            (choice.queue_wait, choice.prefill)
         });
-        Expected {
-            total: reading::FIXED + ahead + reading,
-            ahead,
+        ExpectedFirstEvent {
+            total: prefill_rate::FIRST_EVENT_OVERHEAD + ahead + reading,
+            queue_wait: ahead,
         }
     }
 
     /// Returns how long each model's first event would take from now on.
-    pub fn expected_of_all(&self, gw: &Gateway, models: &[String], now: Now) -> Vec<Expected> {
+    pub fn expected_of_all(
+        &self,
+        gw: &Gateway,
+        models: &[String],
+        now: Now,
+    ) -> Vec<ExpectedFirstEvent> {
         let candidates = gw.candidates(&self.service, &self.session, now);
         let expected = |model: &String| self.expected_among(gw, &candidates, Some(model), now);
         models.iter().map(expected).collect()
@@ -351,39 +360,51 @@
         self.route.objective.saturating_sub(spent)
     }
 
-    fn pay(&self, gw: &Gateway, repeat: Repeat, now: Now) -> bool {
+    fn pay(&self, gw: &Gateway, repeat: RetryReason, now: Now) -> bool {
         gw.with_retries(&self.service, |window| {
-            if self.tries.sent() > 0 {
-                return window.take(repeat, now);
+            if self.tries.sent_count() > 0 {
+                return window.try_spend(repeat, now);
             }
-            if self.tries.count_first() {
-                window.first(now);
+            if self.tries.count_first_once() {
+                window.record_first(now);
             }
             true
         })
     }
 
-    fn record(&self, gw: &Gateway, choice: &Choice, tried: &Tried, plan: TryPlan<'_>) {
+    fn record(
+        &self,
+        gw: &Gateway,
+        choice: &PlacementChoice,
+        tried: &TryOutcome,
+        plan: TryPlan<'_>,
+    ) {
         self.tries.record(tried);
-        if choice.upstream.says_it_leaves() {
+        if choice.upstream.is_leaving() {
             gw.hear_leaving(&choice.upstream, Now::read());
         }
-        if matches!(tried, Tried::NotRun(NotRun::OtherInstance)) {
+        if matches!(tried, TryOutcome::NotRun(NotRunReason::OtherInstance)) {
             gw.knowledge
                 .borrow_mut()
                 .forget_upstream(choice.upstream.life());
         }
         match tried {
-            Tried::Unknown(Failure::Broken(_)) => {
+            TryOutcome::Unknown(UnknownReason::ConnectionBroken(_)) => {
                 self.broke_off(gw, &choice.upstream, Now::read());
             }
-            Tried::Unknown(_) => self.end_trial(),
-            Tried::Answered(_) | Tried::NotRun(_) => {}
+            TryOutcome::Unknown(_) => self.end_trial(),
+            TryOutcome::Answered(_) | TryOutcome::NotRun(_) => {}
         }
         gw.telemetry.tried(self, choice, tried, plan);
     }
 
-    fn outgoing(&self, gw: &Gateway, choice: &Choice, plan: TryPlan<'_>, now: Now) -> Outgoing {
+    fn outgoing(
+        &self,
+        gw: &Gateway,
+        choice: &PlacementChoice,
+        plan: TryPlan<'_>,
+        now: Now,
+    ) -> UpstreamRequest {
         let names = &gw.headers;
         let mut headers = self.headers.clone();
         let mut set = |name: &http::HeaderName, value: &str| {
@@ -399,7 +420,7 @@
         let left = self.left(now).saturating_sub(ANSWER_MARGIN);
         set(&names.deadline, &left.as_millis().to_string());
         set(&names.expect_instance, &choice.upstream.life().instance);
-        if let Beginning::Fetched(keeper) = choice.beginning {
+        if let PrefixSource::Fetched(keeper) = choice.prefix_source {
             set(&names.fetch_from, &keeper.to_string());
         }
         if let Some(organisation) = &self.organisation {
@@ -407,7 +428,7 @@
         }
         if self.route.kind.stream_gap().is_some() {
             let rank = self.organisation.as_ref().map_or(0, |found| found.priority);
-            let urgency = urgency(rank, self.route.priority, choice.reading);
+            let urgency = urgency(rank, self.route.priority, choice.prefill);
             set(&names.urgency, &urgency.to_string());
         }
         if let Some(model) = plan.model {
@@ -416,7 +437,7 @@
         if let Some(event) = plan.resume_after {
             set(&names.last_event_id, event);
         }
-        Outgoing {
+        UpstreamRequest {
             method: self.method.clone(),
             target: self.target.clone(),
             headers,
@@ -431,7 +452,7 @@
     model == Some(ANY_MODEL)
 }
 
-impl Tried {
+impl TryOutcome {
     /// Describes the outcome for the log.
     pub fn describe(&self) -> String {
         match self {
--- a/src/gateway/admit/prompt.rs
+++ b/src/gateway/admit/prompt.rs
@@ -1,6 +1,6 @@
 //! A prompt, as far as placement has to know it.
 
-use crate::gateway::attempt::protocol::parse_prompt_parts;
+use crate::gateway::attempt::headers::parse_prompt_parts;
 
 /// What placement has to know of a prompt.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
--- a/src/gateway/admit/serve.rs
+++ b/src/gateway/admit/serve.rs
@@ -10,9 +10,9 @@
 use crate::gateway::answer::relay::Relay;
 use crate::gateway::answer::stream::{self, Begun};
 use crate::gateway::attempt::connect::http1_types;
-use crate::gateway::attempt::tries::Tries;
+use crate::gateway::attempt::tries::TryHistory;
 use crate::gateway::control::knowledge::Proof;
-use crate::gateway::place::choose::draw;
+use crate::gateway::place::choose::stable_hash;
 use crate::gateway::settings::UnprovedKeys;
 use crate::gateway::{FirstWait, Gateway};
 use crate::hop_by_hop::HopByHop;
@@ -78,7 +78,7 @@
     let prompt = Prompt::read(header(req, &gw.headers.prompt_parts));
     let session = header(req, &gw.headers.session).unwrap_or(request_id);
     let service = route
-        .service_for(draw(request_id))
+        .service_for(stable_hash(request_id))
         .ok_or(Why::NoRoute)?
         .to_owned();
     let target = target_of(req);
@@ -105,7 +105,7 @@
         session: session.to_owned(),
         chooses_model,
         route,
-        tries: Tries::default(),
+        tries: TryHistory::default(),
         trial: Default::default(),
         timed: Default::default(),
     })
--- a/src/gateway/answer/plain.rs
+++ b/src/gateway/answer/plain.rs
@@ -6,11 +6,11 @@
 use crate::gateway::admit::job::{Job, NoTry, TryPlan};
 use crate::gateway::admit::routes::RouteKind;
 use crate::gateway::attempt::connect::http1_types;
-use crate::gateway::attempt::exchange::{Answer, Tried};
-use crate::gateway::attempt::patience::Patience;
-use crate::gateway::attempt::retries::Repeat;
-use crate::gateway::place::candidates::Pause;
-use crate::gateway::place::choose::draw;
+use crate::gateway::attempt::exchange::{Answer, TryOutcome};
+use crate::gateway::attempt::response_timeout::ResponseTimeout;
+use crate::gateway::attempt::retries::RetryReason;
+use crate::gateway::place::candidates::BackOff;
+use crate::gateway::place::choose::stable_hash;
 use bytes::Bytes;
 use std::time::Duration;
 
@@ -46,40 +46,42 @@
             model: None,
             resume_after: None,
             head: patience(gw, job, Now::read()),
-            repeat: Repeat::Failure,
+            repeat: RetryReason::Failure,
         };
         match job.try_once(gw, plan).await {
-            Ok(Tried::Answered(answer)) => match take_whole(gw, job, *answer).await {
+            Ok(TryOutcome::Answered(answer)) => match take_whole(gw, job, *answer).await {
                 Some(whole) if whole.status < SERVER_ERRORS => return Ok(whole),
                 Some(whole) => failed_answer = Some(whole),
                 None => {}
             },
-            Ok(Tried::NotRun(_) | Tried::Unknown(_)) => {}
+            Ok(TryOutcome::NotRun(_) | TryOutcome::Unknown(_)) => {}
             Err(NoTry::NoUpstream) if job.should_wait(gw, RETRY_PAUSE, Now::read()) => {
                 tokio::time::sleep(RETRY_PAUSE).await;
-                job.tries.allow_all();
+                job.tries.allow_all_upstreams();
             }
-            Err(NoTry::Paused(pause)) if job.can_wait(pause.left(), Now::read()) => {
-                tokio::time::sleep(pause.left()).await;
-                job.tries.allow_all();
+            Err(NoTry::Paused(pause)) if job.can_wait(pause.remaining(), Now::read()) => {
+                tokio::time::sleep(pause.remaining()).await;
+                job.tries.allow_all_upstreams();
             }
             Err(no_try) => return failed_answer.ok_or_else(|| why(no_try, job)),
         }
         if !job.may_run_again() {
-            return failed_answer.ok_or_else(|| job.tries.exhausted());
+            return failed_answer.ok_or_else(|| job.tries.exhausted_reason());
         }
     }
 }
 
 /// Returns how long to wait for one upstream.
-fn patience(gw: &Gateway, job: &Job, now: Now) -> Patience {
-    let all = Patience::up_to(Duration::MAX);
+fn patience(gw: &Gateway, job: &Job, now: Now) -> ResponseTimeout {
+    let all = ResponseTimeout::total_only(Duration::MAX);
     match job.route.kind {
-        RouteKind::Idempotent if !job.has_last_run_left() && job.can_repeat(gw, now) => Patience {
-            silent: job.route.objective * SILENT_OBJECTIVES,
-            alive: job.route.objective * ALIVE_OBJECTIVES,
-            ..all
-        },
+        RouteKind::Idempotent if !job.has_last_run_left() && job.can_repeat(gw, now) => {
+            ResponseTimeout {
+                upstream_silent: job.route.objective * SILENT_OBJECTIVES,
+                request_stalled: job.route.objective * ALIVE_OBJECTIVES,
+                ..all
+            }
+        }
         // A request that cannot run again has nowhere else to go.
         _ => all,
     }
@@ -99,9 +101,9 @@
             if let Some(timed) = job.timed.take() {
                 timed.failed();
             }
-            answer.upstream().failed(now);
+            answer.upstream().record_failure(now);
         }
-        None => answer.upstream().failed(now),
+        None => answer.upstream().record_failure(now),
     }
     whole
 }
@@ -117,7 +119,7 @@
     let read = tokio::time::timeout(left, answer.read_whole(limit)).await;
     let reason = match read {
         Ok(Ok(body)) => {
-            gw.quarantine.answered(job.fingerprint, Now::read());
+            gw.quarantine.record_answer(job.fingerprint, Now::read());
             return Some(WholeAnswer {
                 status: answer.status,
                 headers: answer.headers.clone(),
@@ -140,12 +142,14 @@
         NoTry::OutOfTime => Why::Deadline,
         NoTry::Quarantined => Why::CrashesUpstreams,
         NoTry::OnTrial(left) => Why::OnTrial(left),
-        NoTry::Paused(Pause::Resting(left)) => Why::Resting(left + spread(&job.request_id, left)),
-        NoTry::Paused(Pause::WarmingUp(left)) => {
+        NoTry::Paused(BackOff::RetryAfter(left)) => {
+            Why::Resting(left + spread(&job.request_id, left))
+        }
+        NoTry::Paused(BackOff::WarmingUp(left)) => {
             Why::WarmingUp(left + spread(&job.request_id, left))
         }
         NoTry::Evacuated if job.tries.ran() == Ran::Nowhere => Why::Evacuated,
-        NoTry::NoUpstream | NoTry::OutOfBudget | NoTry::Evacuated => job.tries.exhausted(),
+        NoTry::NoUpstream | NoTry::OutOfBudget | NoTry::Evacuated => job.tries.exhausted_reason(),
     }
 }
 
@@ -157,6 +161,6 @@
 fn spread(request_id: &str, wait: Duration) -> Duration {
     const PART: u32 = 4;
     let longest = (wait / PART).min(LONGEST_SPREAD);
-    let part = (draw(request_id) % 1000) as f64 / 1000.0;
+    let part = (stable_hash(request_id) % 1000) as f64 / 1000.0;
     longest.mul_f64(part)
 }
--- a/src/gateway/answer/relay.rs
+++ b/src/gateway/answer/relay.rs
@@ -7,9 +7,9 @@
 use crate::clock::Now;
 use crate::gateway::Gateway;
 use crate::gateway::admit::job::{Job, NoTry, TryPlan};
-use crate::gateway::attempt::exchange::{Answer, Piece, Tried};
-use crate::gateway::attempt::patience::Patience;
-use crate::gateway::attempt::retries::Repeat;
+use crate::gateway::attempt::exchange::{Answer, BodyChunk, TryOutcome};
+use crate::gateway::attempt::response_timeout::ResponseTimeout;
+use crate::gateway::attempt::retries::RetryReason;
 use crate::gateway::attempt::upstream::Upstream;
 use crate::gateway::telemetry::StreamSummary;
 use crate::gateway::versions::tally::Timed;
@@ -96,7 +96,7 @@
         model: Option<String>,
     ) -> Self {
         let now = Now::read();
-        answer.has_read();
+        answer.finish_prefill();
         gw.first_event(job, &answer, model.as_deref().unwrap_or_default(), now);
         let timed = gw.time_events(job, answer.upstream(), PACED_EVENTS - 1, now);
         let asked_after = job.headers.get(gw.headers.last_event_id.as_str());
@@ -136,28 +136,28 @@
                 return Some(Ok(events.bytes));
             }
             let answer = self.answer.as_mut()?;
-            let patience = patience(&self.job).within(self.job.left(Now::read()));
+            let patience = patience(&self.job).capped_at(self.job.left(Now::read()));
             let broken = match answer
-                .next_piece_within(&self.gw.connections, patience)
+                .next_chunk_within(&self.gw.connections, patience)
                 .await
             {
-                Some(Piece::Bytes(bytes)) => match self.splitter.push(&bytes) {
+                Some(BodyChunk::Bytes(bytes)) => match self.splitter.push(&bytes) {
                     Ok(events) => {
-                        answer.has_read();
+                        answer.finish_prefill();
                         self.ready = events;
                         continue;
                     }
                     Err(_too_large) => "an event has no end".to_owned(),
                 },
-                Some(Piece::End) if !self.splitter.is_inside_event() => {
+                Some(BodyChunk::End) if !self.splitter.is_inside_event() => {
                     self.finish();
                     return None;
                 }
-                Some(Piece::End) => {
+                Some(BodyChunk::End) => {
                     self.note_broken();
                     "the stream ended inside an event".to_owned()
                 }
-                Some(Piece::Broken(reason)) => {
+                Some(BodyChunk::Broken(reason)) => {
                     self.note_broken();
                     reason
                 }
@@ -197,7 +197,7 @@
             .gw
             .candidates(&self.job.service, &self.job.session, now);
         let is_other = |upstream: &Rc<Upstream>| upstream.life() != pausing.life();
-        !pausing.needs_connection() && !candidates.iter().any(is_other)
+        !pausing.needs_connect_success() && !candidates.iter().any(is_other)
     }
 
     fn note_pause(&mut self, now: Now) {
@@ -224,7 +224,7 @@
     fn finish(&mut self) {
         let now = Now::read();
         self.judge_pace(now);
-        self.gw.quarantine.answered(self.job.fingerprint, now);
+        self.gw.quarantine.record_answer(self.job.fingerprint, now);
         if let Some(answer) = self.answer.take() {
             answer.finish(&self.gw.connections, now);
         }
@@ -246,7 +246,7 @@
             self.gw
                 .telemetry
                 .broke_off(&self.job, answer.upstream(), &reason);
-            answer.upstream().failed(Now::read());
+            answer.upstream().record_failure(Now::read());
         }
         self.splitter = EventSplitter::default();
         loop {
@@ -257,17 +257,17 @@
                 model: self.model.as_deref(),
                 resume_after: self.last_id.as_deref(),
                 head: match self.job.has_last_run_left() {
-                    true => Patience::up_to(Duration::MAX),
-                    false => Patience {
-                        silent: RESUME_HEAD,
-                        alive: RESUME_HEAD * 2,
-                        most: Duration::MAX,
+                    true => ResponseTimeout::total_only(Duration::MAX),
+                    false => ResponseTimeout {
+                        upstream_silent: RESUME_HEAD,
+                        request_stalled: RESUME_HEAD * 2,
+                        total: Duration::MAX,
                     },
                 },
-                repeat: Repeat::Failure,
+                repeat: RetryReason::Failure,
             };
             match self.job.try_once(&self.gw, plan).await {
-                Ok(Tried::Answered(answer)) if (200..300).contains(&answer.status) => {
+                Ok(TryOutcome::Answered(answer)) if (200..300).contains(&answer.status) => {
                     self.resumed += 1;
                     self.answer = Some(*answer);
                     return Ok(());
@@ -275,11 +275,11 @@
                 Ok(_) => {}
                 Err(NoTry::NoUpstream) if !self.job.left(Now::read()).is_zero() => {
                     tokio::time::sleep(RESUME_PAUSE).await;
-                    self.job.tries.allow_all();
+                    self.job.tries.allow_all_upstreams();
                 }
-                Err(NoTry::Paused(pause)) if self.can_pause(pause.left()) => {
-                    tokio::time::sleep(pause.left()).await;
-                    self.job.tries.allow_all();
+                Err(NoTry::Paused(pause)) if self.can_pause(pause.remaining()) => {
+                    tokio::time::sleep(pause.remaining()).await;
+                    self.job.tries.allow_all_upstreams();
                 }
                 Err(_) => return Err(BrokeOff(reason)),
             }
@@ -294,12 +294,12 @@
 }
 
 /// Returns how long a pause may be before another upstream is asked to go on.
-fn patience(job: &Job) -> Patience {
-    let all = Patience::up_to(Duration::MAX);
+fn patience(job: &Job) -> ResponseTimeout {
+    let all = ResponseTimeout::total_only(Duration::MAX);
     match job.route.kind.stream_gap() {
-        Some(gap) if job.may_run_again() => Patience {
-            silent: gap * SILENT_TENTHS / 10,
-            alive: gap * ALIVE_TENTHS / 10,
+        Some(gap) if job.may_run_again() => ResponseTimeout {
+            upstream_silent: gap * SILENT_TENTHS / 10,
+            request_stalled: gap * ALIVE_TENTHS / 10,
             ..all
         },
         _ => all,
--- a/src/gateway/answer/stream.rs
+++ b/src/gateway/answer/stream.rs
@@ -11,10 +11,10 @@
 use crate::gateway::Gateway;
 use crate::gateway::admit::job::{Job, NoTry, TryPlan};
 use crate::gateway::attempt::connect::http1_types;
-use crate::gateway::attempt::exchange::{Answer, Piece, Tried};
-use crate::gateway::attempt::patience::{Patience, patiently};
-use crate::gateway::attempt::retries::Repeat;
-use crate::gateway::place::models::{BegunAnswer, Verdict, judge};
+use crate::gateway::attempt::exchange::{Answer, BodyChunk, TryOutcome};
+use crate::gateway::attempt::response_timeout::{ResponseTimeout, with_response_timeout};
+use crate::gateway::attempt::retries::RetryReason;
+use crate::gateway::place::escalation::{EscalationDecision, StartedAnswer, judge_answer};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -60,7 +60,7 @@
     };
     // The place in the route's list of models; the smallest goes first.
     let mut place = 0;
-    let mut repeat = Repeat::Failure;
+    let mut repeat = RetryReason::Failure;
     let mut failure = None;
     loop {
         let model = models.get(place).map(String::as_str);
@@ -70,13 +70,13 @@
             head: patience(gw, job, model, Now::read()),
             repeat,
         };
-        repeat = Repeat::Failure;
+        repeat = RetryReason::Failure;
         match job.try_once(gw, plan).await {
-            Ok(Tried::Answered(answer)) if is_success(&answer) => {
+            Ok(TryOutcome::Answered(answer)) if is_success(&answer) => {
                 if let Some(larger) = larger_model(gw, job, models, place, &answer) {
                     place = larger;
-                    repeat = Repeat::Escalation;
-                    job.tries.allow_all();
+                    repeat = RetryReason::Escalation;
+                    job.tries.allow_all_upstreams();
                     continue;
                 }
                 let headers = answer.headers.clone();
@@ -85,16 +85,16 @@
                     return Ok(Begun::Stream { headers, relay });
                 }
             }
-            Ok(Tried::Answered(answer)) => failure = take_failure(gw, job, *answer).await,
-            Ok(Tried::NotRun(_) | Tried::Unknown(_)) => {}
+            Ok(TryOutcome::Answered(answer)) => failure = take_failure(gw, job, *answer).await,
+            Ok(TryOutcome::NotRun(_) | TryOutcome::Unknown(_)) => {}
             Err(NoTry::NoUpstream) if job.should_wait(gw, RETRY_PAUSE, Now::read()) => {
                 tokio::time::sleep(RETRY_PAUSE).await;
-                job.tries.allow_all();
+                job.tries.allow_all_upstreams();
                 continue;
             }
-            Err(NoTry::Paused(pause)) if job.can_wait(pause.left(), Now::read()) => {
-                tokio::time::sleep(pause.left()).await;
-                job.tries.allow_all();
+            Err(NoTry::Paused(pause)) if job.can_wait(pause.remaining(), Now::read()) => {
+                tokio::time::sleep(pause.remaining()).await;
+                job.tries.allow_all_upstreams();
                 continue;
             }
             Err(no_try) => return failure.map(Begun::Failed).ok_or_else(|| why(no_try, job)),
@@ -102,7 +102,7 @@
         if !job.may_run_again() {
             return failure
                 .map(Begun::Failed)
-                .ok_or_else(|| job.tries.exhausted());
+                .ok_or_else(|| job.tries.exhausted_reason());
         }
     }
 }
@@ -119,24 +119,24 @@
     let now = Now::read();
     let expected = job.expected_of_all(gw, models, now);
     let left = job.left_of_objective(now);
-    let begun = BegunAnswer {
-        place,
+    let begun = StartedAnswer {
+        model_index: place,
         confidence,
-        rank_part: gw.rank_part(&job.route),
+        rank_fraction: gw.rank_part(&job.route),
     };
-    match judge(begun, &expected, left) {
-        Verdict::PassOn => None,
-        Verdict::PassOnUnsure => {
+    match judge_answer(begun, &expected, left) {
+        EscalationDecision::Accept => None,
+        EscalationDecision::AcceptUnsure => {
             gw.telemetry
                 .unsure_passed_on(job, place, confidence, "no larger model in time", left);
             None
         }
-        Verdict::AskLarger(_) if !may_escalate(gw, job, now) => {
+        EscalationDecision::Escalate(_) if !may_escalate(gw, job, now) => {
             gw.telemetry
                 .unsure_passed_on(job, place, confidence, "no repeat left", left);
             None
         }
-        Verdict::AskLarger(larger) => {
+        EscalationDecision::Escalate(larger) => {
             gw.telemetry.escalated(job, place, larger, confidence);
             Some(larger)
         }
@@ -156,27 +156,27 @@
 /// one more upstream that it may crash.
 fn may_escalate(gw: &Gateway, job: &Job, now: Now) -> bool {
     let has_room = gw.with_retries(&job.service, |window| {
-        window.has_room(Repeat::Escalation, now)
+        window.has_budget(RetryReason::Escalation, now)
     });
     has_room && job.may_run_again() && !job.is_on_trial()
 }
 
 /// Returns how long to wait for the head of an answer.
-fn patience(gw: &Gateway, job: &Job, model: Option<&str>, now: Now) -> Patience {
+fn patience(gw: &Gateway, job: &Job, model: Option<&str>, now: Now) -> ResponseTimeout {
     let can_ask_others = job.can_repeat(gw, now) && !job.has_last_run_left();
     match job.route.kind.is_repeatable() && can_ask_others {
         true => first_event_patience(gw, job, model, now),
-        false => Patience::up_to(Duration::MAX),
+        false => ResponseTimeout::total_only(Duration::MAX),
     }
 }
 
-fn first_event_patience(gw: &Gateway, job: &Job, model: Option<&str>, now: Now) -> Patience {
+fn first_event_patience(gw: &Gateway, job: &Job, model: Option<&str>, now: Now) -> ResponseTimeout {
     let expected = job.expected(gw, model, now).total * EXPECTED_TIMES;
     let part = |hundredths: u32| job.route.objective * hundredths / 100;
-    Patience {
-        silent: part(SILENT_HUNDREDTHS),
-        alive: part(ALIVE_HUNDREDTHS).max(expected),
-        most: Duration::MAX,
+    ResponseTimeout {
+        upstream_silent: part(SILENT_HUNDREDTHS),
+        request_stalled: part(ALIVE_HUNDREDTHS).max(expected),
+        total: Duration::MAX,
     }
 }
 
@@ -191,33 +191,33 @@
     let now = Now::read();
     let patience = match job.can_repeat(gw, now) {
         true => first_event_patience(gw, job, model.as_deref(), now),
-        false => Patience::up_to(Duration::MAX),
+        false => ResponseTimeout::total_only(Duration::MAX),
     };
-    let patience = patience.within(job.left(now));
+    let patience = patience.capped_at(job.left(now));
     let upstream = answer.upstream().clone();
     let read = async {
         loop {
-            match answer.next_piece().await {
-                Piece::Bytes(bytes) => match splitter.push(&bytes) {
+            match answer.next_chunk().await {
+                BodyChunk::Bytes(bytes) => match splitter.push(&bytes) {
                     Ok(Some(events)) => return Ok(Some(events)),
                     Ok(None) => {}
                     Err(_too_large) => return Err("an event has no end".to_owned()),
                 },
-                Piece::End if splitter.is_inside_event() => {
+                BodyChunk::End if splitter.is_inside_event() => {
                     return Err("the stream ended inside an event".to_owned());
                 }
-                Piece::End => return Ok(None),
-                Piece::Broken(reason) => return Err(reason),
+                BodyChunk::End => return Ok(None),
+                BodyChunk::Broken(reason) => return Err(reason),
             }
         }
     };
-    let reason = match patiently(&gw.connections, &upstream, patience, read).await {
+    let reason = match with_response_timeout(&gw.connections, &upstream, patience, read).await {
         Some(Ok(events)) => {
             let relay = Relay::new(gw, job, answer, splitter, events, model);
             return First::Came(Box::new(relay));
         }
         Some(Err(reason)) => {
-            upstream.failed(Now::read());
+            upstream.record_failure(Now::read());
             job.broke_off(gw, &upstream, Now::read());
             reason
         }
@@ -228,6 +228,6 @@
 }
 
 async fn take_failure(gw: &Gateway, job: &Job, mut answer: Answer) -> Option<WholeAnswer> {
-    answer.upstream().failed(Now::read());
+    answer.upstream().record_failure(Now::read());
     read_whole(gw, job, &mut answer, FAILURE_BYTES_LIMIT).await
 }
--- a/src/gateway/attempt/connect.rs
+++ b/src/gateway/attempt/connect.rs
@@ -28,21 +28,21 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 /// How long a probe waits before it tries a second connection: several times the way there
 /// and back.
-const SECOND_PROBE: Duration = Duration::from_millis(50);
+const SECOND_PROBE_DELAY: Duration = Duration::from_millis(50);
 /// How long written bytes may stay unacknowledged before the connection counts as dead.
-const USER_TIMEOUT: Duration = Duration::from_secs(3);
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
 /// How long a connection may rest and still be used again. Upstreams drop resting
 /// connections early at times; a second is well below the seconds that they announce.
 const IDLE_LIFETIME: Duration = Duration::from_secs(1);
 /// Resting connections kept for one upstream.
-const IDLE_PER_UPSTREAM: usize = 4;
+const MAX_IDLE_PER_UPSTREAM: usize = 4;
 
 /// One open connection to an upstream.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
-    rested_since: Duration,
+    idle_since: Duration,
     reused: bool,
 }
 
@@ -78,18 +78,18 @@
 /// The resting connections of a box, by the life of the upstream and never by address alone,
 /// since an address may pass on to another service and an upstream may start again.
 #[derive(Debug, Default)]
-pub struct Connections {
+pub struct ConnectionPool {
     idle: RefCell<HashMap<UpstreamLife, Vec<Connection>>>,
 }
 
-impl Connections {
+impl ConnectionPool {
     /// Returns a connection that has rested for a short while, if there is one.
     pub fn take_idle(&self, life: &UpstreamLife, now: Now) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let resting = idle.get_mut(life)?;
-        while let Some(mut connection) = resting.pop() {
-            let rested = now.monotonic.saturating_sub(connection.rested_since);
-            if rested < IDLE_LIFETIME && connection.sender.is_ready() {
+        let connections = idle.get_mut(life)?;
+        while let Some(mut connection) = connections.pop() {
+            let idle_time = now.monotonic.saturating_sub(connection.idle_since);
+            if idle_time < IDLE_LIFETIME && connection.sender.is_ready() {
                 connection.reused = true;
                 return Some(connection);
             }
@@ -103,7 +103,7 @@
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
             .await
             .map_err(|_elapsed| io::Error::from(io::ErrorKind::TimedOut))??;
-        prepare(&stream, address);
+        set_socket_options(&stream, address);
         let (sender, connection) = http1::Builder::new()
             .handshake(TokioIo::new(stream))
             .await
@@ -116,21 +116,21 @@
         Ok(Connection {
             sender,
             driver,
-            rested_since: now.monotonic,
+            idle_since: now.monotonic,
             reused: false,
         })
     }
 
     /// Keeps a connection whose answer was whole, for the next request.
-    pub fn rest(&self, life: &UpstreamLife, mut connection: Connection, now: Now) {
+    pub fn release(&self, life: &UpstreamLife, mut connection: Connection, now: Now) {
         if connection.sender.is_closed() {
             return;
         }
-        connection.rested_since = now.monotonic;
+        connection.idle_since = now.monotonic;
         let mut idle = self.idle.borrow_mut();
-        let resting = idle.entry(life.clone()).or_default();
-        if resting.len() < IDLE_PER_UPSTREAM {
-            resting.push(connection);
+        let connections = idle.entry(life.clone()).or_default();
+        if connections.len() < MAX_IDLE_PER_UPSTREAM {
+            connections.push(connection);
         }
     }
 
@@ -140,21 +140,21 @@
     /// look dead.
     pub async fn probe(&self, upstream: &Upstream) -> bool {
         let now = Now::read();
-        let soon = async {
-            tokio::time::sleep(SECOND_PROBE).await;
+        let second = async {
+            tokio::time::sleep(SECOND_PROBE_DELAY).await;
             self.open(upstream, now).await
         };
-        let tries: [LocalBoxFuture<'_, _>; 2] =
-            [Box::pin(self.open(upstream, now)), Box::pin(soon)];
-        match select_ok(tries).await {
+        let attempts: [LocalBoxFuture<'_, _>; 2] =
+            [Box::pin(self.open(upstream, now)), Box::pin(second)];
+        match select_ok(attempts).await {
             Ok((connection, _)) => {
-                upstream.connectable();
-                self.rest(upstream.life(), connection, now);
+                upstream.record_connect_success();
+                self.release(upstream.life(), connection, now);
                 true
             }
             Err(err) => {
                 log::debug!("a probe found no upstream: {err}");
-                upstream.unconnectable(Now::read());
+                upstream.record_connect_failure(Now::read());
                 false
             }
         }
@@ -163,21 +163,21 @@
     /// Closes connections that have rested too long.
     pub fn close_stale(&self, now: Now) {
         let mut idle = self.idle.borrow_mut();
-        for resting in idle.values_mut() {
-            resting.retain(|connection| {
-                now.monotonic.saturating_sub(connection.rested_since) < IDLE_LIFETIME
+        for connections in idle.values_mut() {
+            connections.retain(|connection| {
+                now.monotonic.saturating_sub(connection.idle_since) < IDLE_LIFETIME
             });
         }
-        idle.retain(|_, resting| !resting.is_empty());
+        idle.retain(|_, connections| !connections.is_empty());
     }
 }
 
-fn prepare(stream: &TcpStream, address: SocketAddr) {
+fn set_socket_options(stream: &TcpStream, address: SocketAddr) {
     if let Err(err) = stream.set_nodelay(true) {
         log::debug!("small packets to {address} may wait for others: {err}");
     }
     let socket = socket2::SockRef::from(stream);
-    if let Err(err) = socket.set_tcp_user_timeout(Some(USER_TIMEOUT)) {
+    if let Err(err) = socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT)) {
         log::debug!("a dead connection to {address} may be noticed late: {err}");
     }
 }
--- a/src/gateway/attempt/crash.rs
+++ b/src/gateway/attempt/crash_detection.rs
@@ -22,27 +22,27 @@
 const CHECK_DELAY: Duration = Duration::from_millis(15);
 /// How long runs that broke off are kept, to be found at their upstream's crash: the others of
 /// one crash are noticed within the time that a lost reset takes to be sent again.
-const KEPT_FOR: Duration = Duration::from_secs(2);
+const INTERRUPTED_RUN_RETENTION: Duration = Duration::from_secs(2);
 
 /// The runs that broke off of late, by the life of their upstream.
 #[derive(Debug, Default)]
-pub struct CrashWatch {
-    broken: RefCell<HashMap<UpstreamLife, BrokenRuns>>,
-    rung: Notify,
+pub struct CrashDetector {
+    interrupted: RefCell<HashMap<UpstreamLife, InterruptedRuns>>,
+    work_added: Notify,
 }
 
 /// The runs of one upstream that broke off.
 #[derive(Debug)]
-struct BrokenRuns {
+struct InterruptedRuns {
     upstream: Rc<Upstream>,
-    runs: Vec<BrokenRun>,
-    first: Duration,
+    runs: Vec<InterruptedRun>,
+    first_at: Duration,
     state: CheckState,
 }
 
 /// A run that broke off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BrokenRun {
+pub struct InterruptedRun {
     /// The request.
     pub request: Fingerprint,
     /// Its part, should the upstream have crashed.
@@ -51,67 +51,69 @@
 
 /// What the watch has to have done next.
 #[derive(Debug, Default)]
-struct Due {
+struct DueWork {
     checks: Vec<Rc<Upstream>>,
-    crashes: Vec<(Rc<Upstream>, Vec<BrokenRun>)>,
+    crashes: Vec<(Rc<Upstream>, Vec<InterruptedRun>)>,
 }
 
 /// How the check of an upstream stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CheckState {
     Due,
-    UnderWay,
+    InProgress,
     Crashed,
 }
 
-impl CrashWatch {
+impl CrashDetector {
     /// Records that a run broke off at an upstream.
-    fn add(&self, upstream: &Rc<Upstream>, run: BrokenRun, now: Now) {
-        let mut broken = self.broken.borrow_mut();
-        broken.retain(|_, known| now.monotonic.saturating_sub(known.first) < KEPT_FOR);
-        let known = broken
+    fn add(&self, upstream: &Rc<Upstream>, run: InterruptedRun, now: Now) {
+        let mut interrupted = self.interrupted.borrow_mut();
+        interrupted.retain(|_, known| {
+            now.monotonic.saturating_sub(known.first_at) < INTERRUPTED_RUN_RETENTION
+        });
+        let known = interrupted
             .entry(upstream.life().clone())
-            .or_insert_with(|| BrokenRuns {
+            .or_insert_with(|| InterruptedRuns {
                 upstream: upstream.clone(),
                 runs: Vec::new(),
-                first: now.monotonic,
+                first_at: now.monotonic,
                 state: CheckState::Due,
             });
         known.runs.push(run);
-        self.rung.notify_one();
+        self.work_added.notify_one();
     }
 
     /// Takes the upstreams whose check is due, and the runs of those that are known to be gone.
-    fn take_due(&self) -> Due {
-        let mut due = Due::default();
-        for known in self.broken.borrow_mut().values_mut() {
+    fn take_due(&self) -> DueWork {
+        let mut due = DueWork::default();
+        for known in self.interrupted.borrow_mut().values_mut() {
             match known.state {
                 CheckState::Due => {
-                    known.state = CheckState::UnderWay;
+                    known.state = CheckState::InProgress;
                     due.checks.push(known.upstream.clone());
                 }
                 CheckState::Crashed if !known.runs.is_empty() => {
                     let runs = std::mem::take(&mut known.runs);
                     due.crashes.push((known.upstream.clone(), runs));
                 }
-                CheckState::UnderWay | CheckState::Crashed => {}
+                CheckState::InProgress | CheckState::Crashed => {}
             }
         }
         due
     }
 
     /// Records what a check found; returns the runs of an upstream that has not crashed.
-    fn checked(&self, life: &UpstreamLife, found: AfterBreak) -> Vec<BrokenRun> {
-        let mut broken = self.broken.borrow_mut();
+    fn finish_check(&self, life: &UpstreamLife, found: AfterBreak) -> Vec<InterruptedRun> {
+        let mut interrupted = self.interrupted.borrow_mut();
         match found {
             AfterBreak::Crashed => {
-                if let Some(known) = broken.get_mut(life) {
+                if let Some(known) = interrupted.get_mut(life) {
                     known.state = CheckState::Crashed;
                 }
-                self.rung.notify_one();
+                self.work_added.notify_one();
                 Vec::new()
             }
-            AfterBreak::Alive | AfterBreak::Unreachable => broken
+            AfterBreak::Alive | AfterBreak::Unreachable => interrupted
                 .remove(life)
                 .map_or_else(Vec::new, |known| known.runs),
         }
@@ -120,28 +122,29 @@
 
 impl Gateway {
     /// Records that a run broke off, and has its upstream checked for a crash.
-    pub fn run_broke_off(&self, run: BrokenRun, upstream: &Rc<Upstream>, now: Now) {
+    pub fn record_interrupted_run(&self, run: InterruptedRun, upstream: &Rc<Upstream>, now: Now) {
         self.crashes.add(upstream, run, now);
     }
 
     /// Records what ran at an upstream when it crashed. One that was about to leave ended as
     /// planned, whatever ran there.
-    fn record_crash(&self, upstream: &Upstream, runs: &[BrokenRun], now: Now) {
+    fn record_crash(&self, upstream: &Upstream, runs: &[InterruptedRun], now: Now) {
         if !self.knowledge.borrow().is_serving(upstream.life()) {
             return;
         }
         for run in runs {
             self.telemetry.ran_at_crash(upstream, *run);
             let life = upstream.short_hash();
-            self.quarantine.crashed(life, run.request, run.part, now);
+            self.quarantine
+                .record_crash(life, run.request, run.part, now);
         }
     }
 }
 
 /// Checks upstreams where runs broke off, for as long as the process lives.
-pub async fn check_upstreams(gw: Rc<Gateway>) {
+pub async fn check_interrupted_upstreams(gw: Rc<Gateway>) {
     loop {
-        gw.crashes.rung.notified().await;
+        gw.crashes.work_added.notified().await;
         let due = gw.crashes.take_due();
         for upstream in due.checks {
             actix_rt::spawn(check(gw.clone(), upstream));
@@ -158,10 +161,10 @@
     let opened = gw.connections.open(&upstream, now).await;
     let found = AfterBreak::by(&opened);
     if let Ok(connection) = opened {
-        gw.connections.rest(upstream.life(), connection, now);
+        gw.connections.release(upstream.life(), connection, now);
     }
     gw.telemetry.checked_after_break(&upstream, found);
-    for run in gw.crashes.checked(upstream.life(), found) {
+    for run in gw.crashes.finish_check(upstream.life(), found) {
         if run.part == Part::OnTrial {
             gw.quarantine.end_trial(run.request, now);
         }
--- a/src/gateway/attempt/exchange.rs
+++ b/src/gateway/attempt/exchange.rs
@@ -4,10 +4,10 @@
 //! upstream's own statement or from the proof that no byte was written, and nowhere
 //! else. See `docs/design/platform.md`.
 
-use super::connect::{Connection, Connections, http1_types};
-use super::patience::{Patience, patiently};
-use super::protocol::{Headers, parse_load};
-use super::upstream::{Unread, Upstream};
+use super::connect::{Connection, ConnectionPool, http1_types};
+use super::headers::{HeaderNames, parse_load};
+use super::response_timeout::{ResponseTimeout, with_response_timeout};
+use super::upstream::{PendingPrefill, Upstream};
 use crate::clock::Now;
 use crate::routing::placement::LoadGuard;
 use crate::routing::signs::{SignHeaders, Signs};
@@ -19,11 +19,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-const MISDIRECTED: u16 = 421;
+const STATUS_MISDIRECTED_REQUEST: u16 = 421;
 
 /// A request as one upstream is to get it.
 #[derive(Debug)]
-pub struct Outgoing {
+pub struct UpstreamRequest {
     /// The method.
     pub method: http1_types::Method,
     /// The path with its query, as the caller sent it.
@@ -38,23 +38,23 @@
 
 /// What came of a try.
 #[derive(Debug)]
-pub enum Tried {
+pub enum TryOutcome {
     /// The upstream's answer begins.
     Answered(Box<Answer>),
     /// The request did not run at this upstream and will not.
-    NotRun(NotRun),
+    NotRun(NotRunReason),
     /// The request may have run.
-    Unknown(Failure),
+    Unknown(UnknownReason),
 }
 
 /// Why a request certainly did not run.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum NotRun {
+pub enum NotRunReason {
     /// No connection came about, so no byte was written.
     NoConnection(String),
     /// The upstream said to another request that it wants no more, or operators evacuated its hall,
     /// before a byte was written.
-    NotWanted,
+    Unavailable,
     /// The upstream said that it did not run the request.
     Refused(u16),
     /// Another instance has the address.
@@ -63,32 +63,32 @@
 
 /// Why it is not known whether a request ran.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Failure {
+pub enum UnknownReason {
     /// The connection broke.
-    Broken(String),
+    ConnectionBroken(String),
     /// The answer belongs to another request or is none of the upstream's.
-    ForeignAnswer(&'static str),
+    MismatchedAnswer(&'static str),
     /// Nothing came in time.
-    Silent,
+    TimedOut,
 }
 
-impl fmt::Display for NotRun {
+impl fmt::Display for NotRunReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NoConnection(reason) => write!(f, "no connection: {reason}"),
-            Self::NotWanted => f.write_str("it wants no more requests"),
+            Self::Unavailable => f.write_str("it wants no more requests"),
             Self::Refused(status) => write!(f, "refused with {status}"),
             Self::OtherInstance => f.write_str("another instance has the address"),
         }
     }
 }
 
-impl fmt::Display for Failure {
+impl fmt::Display for UnknownReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Broken(reason) => write!(f, "the connection broke: {reason}"),
-            Self::ForeignAnswer(reason) => write!(f, "not this request's answer: {reason}"),
-            Self::Silent => f.write_str("nothing came in time"),
+            Self::ConnectionBroken(reason) => write!(f, "the connection broke: {reason}"),
+            Self::MismatchedAnswer(reason) => write!(f, "not this request's answer: {reason}"),
+            Self::TimedOut => f.write_str("nothing came in time"),
         }
     }
 }
@@ -101,19 +101,19 @@
     /// The headers.
     pub headers: http1_types::HeaderMap,
     /// When the request went out.
-    pub sent: Duration,
+    pub sent_at: Duration,
     /// Whether the time to the first event tells how fast the upstream reads.
-    pub tells_rate: bool,
+    pub measures_prefill_rate: bool,
     body: Incoming,
     connection: Option<Connection>,
     upstream: Rc<Upstream>,
-    unread: Option<Unread>,
+    pending_prefill: Option<PendingPrefill>,
     _load: LoadGuard,
 }
 
 /// The next piece of a body.
 #[derive(Debug)]
-pub enum Piece {
+pub enum BodyChunk {
     /// Some bytes.
     Bytes(Bytes),
     /// The body is whole.
@@ -124,27 +124,27 @@
 
 impl Answer {
     /// Reads the next piece of the body; none if patience ran out.
-    pub async fn next_piece_within(
+    pub async fn next_chunk_within(
         &mut self,
-        connections: &Connections,
-        patience: Patience,
-    ) -> Option<Piece> {
+        connections: &ConnectionPool,
+        timeout: ResponseTimeout,
+    ) -> Option<BodyChunk> {
         let upstream = self.upstream.clone();
-        patiently(connections, &upstream, patience, self.next_piece()).await
+        with_response_timeout(connections, &upstream, timeout, self.next_chunk()).await
     }
 
     /// Reads the next piece of the body.
-    pub async fn next_piece(&mut self) -> Piece {
+    pub async fn next_chunk(&mut self) -> BodyChunk {
         loop {
             let frame = self.body.frame().await;
-            self.upstream.heard(Now::read());
+            self.upstream.record_data_received(Now::read());
             match frame {
                 Some(Ok(frame)) => match frame.into_data() {
-                    Ok(bytes) => return Piece::Bytes(bytes),
+                    Ok(bytes) => return BodyChunk::Bytes(bytes),
                     Err(_trailers) => {}
                 },
-                Some(Err(err)) => return Piece::Broken(err.to_string()),
-                None => return Piece::End,
+                Some(Err(err)) => return BodyChunk::Broken(err.to_string()),
+                None => return BodyChunk::End,
             }
         }
     }
@@ -153,20 +153,20 @@
     pub async fn read_whole(&mut self, limit: usize) -> Result<Bytes, String> {
         let mut whole = bytes::BytesMut::new();
         loop {
-            match self.next_piece().await {
-                Piece::Bytes(bytes) if whole.len() + bytes.len() > limit => {
+            match self.next_chunk().await {
+                BodyChunk::Bytes(bytes) if whole.len() + bytes.len() > limit => {
                     return Err(format!("the answer is larger than {limit} bytes"));
                 }
-                Piece::Bytes(bytes) => whole.extend_from_slice(&bytes),
-                Piece::End => return Ok(whole.freeze()),
-                Piece::Broken(reason) => return Err(reason),
+                BodyChunk::Bytes(bytes) => whole.extend_from_slice(&bytes),
+                BodyChunk::End => return Ok(whole.freeze()),
+                BodyChunk::Broken(reason) => return Err(reason),
             }
         }
     }
 
     /// Records that the first event came, so that the prompt has been read.
-    pub fn has_read(&mut self) {
-        self.unread = None;
+    pub fn finish_prefill(&mut self) {
+        self.pending_prefill = None;
     }
 
     /// Returns the upstream that answers.
@@ -175,8 +175,8 @@
     }
 
     /// Gives the connection back after a whole body, unless the upstream closes it.
-    pub fn finish(mut self, connections: &Connections, now: Now) {
-        self.upstream.answered(now);
+    pub fn finish(mut self, connections: &ConnectionPool, now: Now) {
+        self.upstream.record_success(now);
         let closes = self
             .headers
             .get(hyper::header::CONNECTION)
@@ -184,38 +184,38 @@
         if let Some(connection) = self.connection.take()
             && !closes
         {
-            connections.rest(self.upstream.life(), connection, now);
+            connections.release(self.upstream.life(), connection, now);
         }
     }
 }
 
 /// How a try is made.
 #[derive(Debug, Clone, Copy)]
-pub struct TryLimits {
+pub struct TryOptions {
     /// How long to wait for the head of the answer.
-    pub head: Patience,
+    pub head_timeout: ResponseTimeout,
     /// How long the upstream reads the prompt.
-    pub reading: Duration,
+    pub prefill: Duration,
     /// Whether the upstream reads the prompt whole and has nothing else to read, as far as
     /// is known, so that the time to the first event tells how fast it reads.
-    pub tells_rate: bool,
+    pub measures_prefill_rate: bool,
     /// Whether a connection that was used before may be used; one may close just as the
     /// request is written, which leaves open whether it ran.
-    pub may_reuse: bool,
+    pub may_reuse_connection: bool,
 }
 
 /// Makes one try at one upstream.
 pub async fn try_upstream(
-    connections: &Connections,
-    headers: &Headers,
+    connections: &ConnectionPool,
+    headers: &HeaderNames,
     upstream: &Rc<Upstream>,
-    out: Outgoing,
-    limits: TryLimits,
-) -> Tried {
-    let load = upstream.enter();
-    let unread = upstream.begin_reading(limits.reading);
+    out: UpstreamRequest,
+    options: TryOptions,
+) -> TryOutcome {
+    let load = upstream.begin_request();
+    let pending_prefill = upstream.begin_prefill(options.prefill);
     let began = Now::read();
-    let idle = match limits.may_reuse {
+    let idle = match options.may_reuse_connection {
         true => connections.take_idle(upstream.life(), began),
         false => None,
     };
@@ -224,33 +224,39 @@
         None => match connections.open(upstream, began).await {
             Ok(connection) => connection,
             Err(err) => {
-                upstream.unconnectable(Now::read());
-                return Tried::NotRun(NotRun::NoConnection(err.to_string()));
+                upstream.record_connect_failure(Now::read());
+                return TryOutcome::NotRun(NotRunReason::NoConnection(err.to_string()));
             }
         },
     };
-    let is_wanted = !upstream.says_it_leaves() && !upstream.is_evacuated();
-    if !is_wanted || upstream.is_resting_as_asked(Now::read()) {
-        return Tried::NotRun(NotRun::NotWanted);
+    let takes_requests = !upstream.is_leaving() && !upstream.is_evacuated();
+    if !takes_requests || upstream.is_in_retry_after(Now::read()) {
+        return TryOutcome::NotRun(NotRunReason::Unavailable);
     }
     let request_id = out.request_id.clone();
-    let req = match build(out) {
+    let req = match build_request(out) {
         Ok(req) => req,
-        Err(reason) => return Tried::NotRun(NotRun::NoConnection(reason)),
+        Err(reason) => return TryOutcome::NotRun(NotRunReason::NoConnection(reason)),
     };
-    let sent = patiently(connections, upstream, limits.head, connection.send(req)).await;
+    let sent = with_response_timeout(
+        connections,
+        upstream,
+        options.head_timeout,
+        connection.send(req),
+    )
+    .await;
     let now = Now::read();
     let res = match sent {
         Some(Ok(res)) => res,
         Some(Err(err)) => {
             if !connection.is_reused() {
-                upstream.failed(now);
+                upstream.record_failure(now);
             }
-            return Tried::Unknown(Failure::Broken(err.to_string()));
+            return TryOutcome::Unknown(UnknownReason::ConnectionBroken(err.to_string()));
         }
-        None => return Tried::Unknown(Failure::Silent),
+        None => return TryOutcome::Unknown(UnknownReason::TimedOut),
     };
-    upstream.heard(now);
+    upstream.record_data_received(now);
     let (parts, body) = res.into_parts();
     let text = |name: &http::HeaderName| {
         parts
@@ -259,47 +265,47 @@
             .and_then(|value| value.to_str().ok())
     };
     if let Some(load) = text(&headers.load).and_then(parse_load) {
-        upstream.reported(load, now);
+        upstream.record_load_report(load, now);
     }
     let echoed = text(&headers.request_id);
     if echoed.is_some_and(|echoed| echoed != request_id) {
-        upstream.failed(now);
-        return Tried::Unknown(Failure::ForeignAnswer("it names another request"));
+        upstream.record_failure(now);
+        return TryOutcome::Unknown(UnknownReason::MismatchedAnswer("it names another request"));
     }
     let status = parts.status.as_u16();
     // Another instance speaks for itself.
-    if status == MISDIRECTED {
-        return Tried::NotRun(NotRun::OtherInstance);
+    if status == STATUS_MISDIRECTED_REQUEST {
+        return TryOutcome::NotRun(NotRunReason::OtherInstance);
     }
     let signs = SignHeaders {
         leaving: text(&headers.leaving),
         retry_after: text(&RETRY_AFTER),
     };
-    upstream.take_signs(Signs::read(status, signs, now.wall), now);
+    upstream.apply_head_signs(Signs::read(status, signs, now.wall), now);
     if text(&headers.not_executed).is_some() {
-        return Tried::NotRun(NotRun::Refused(status));
+        return TryOutcome::NotRun(NotRunReason::Refused(status));
     }
-    if let Some(reason) = foreign(&parts.headers, headers, parts.status, echoed) {
-        upstream.failed(now);
-        return Tried::Unknown(Failure::ForeignAnswer(reason));
+    if let Some(reason) = mismatch_reason(&parts.headers, headers, parts.status, echoed) {
+        upstream.record_failure(now);
+        return TryOutcome::Unknown(UnknownReason::MismatchedAnswer(reason));
     }
-    Tried::Answered(Box::new(Answer {
+    TryOutcome::Answered(Box::new(Answer {
         status,
         headers: parts.headers,
-        sent: began.monotonic,
-        tells_rate: limits.tells_rate,
+        sent_at: began.monotonic,
+        measures_prefill_rate: options.measures_prefill_rate,
         body,
         connection: Some(connection),
         upstream: upstream.clone(),
-        unread: Some(unread),
+        pending_prefill: Some(pending_prefill),
         _load: load,
     }))
 }
 
 /// Says what shows that an answer is not the upstream's answer to this request.
-fn foreign(
+fn mismatch_reason(
     found: &http1_types::HeaderMap,
-    names: &Headers,
+    names: &HeaderNames,
     status: hyper::StatusCode,
     echoed: Option<&str>,
 ) -> Option<&'static str> {
@@ -315,7 +321,7 @@
     }
 }
 
-fn build(out: Outgoing) -> Result<http1_types::Request<Full<Bytes>>, String> {
+fn build_request(out: UpstreamRequest) -> Result<http1_types::Request<Full<Bytes>>, String> {
     let mut req = http1_types::Request::builder()
         .method(out.method)
         .uri(out.target)
--- a/src/gateway/attempt/protocol.rs
+++ b/src/gateway/attempt/headers.rs
@@ -8,7 +8,7 @@
 
 /// The name of each header that the gateway reads or sets.
 #[derive(Debug, Clone)]
-pub struct Headers {
+pub struct HeaderNames {
     /// The caller's id of one attempt; upstreams echo it.
     pub request_id: HeaderName,
     /// The milliseconds that the sender will still wait.
@@ -49,30 +49,30 @@
 pub const ANY_MODEL: &str = "*";
 
 /// The least urgent value of the urgency header.
-const LEAST_URGENT: u8 = 9;
+const LOWEST_URGENCY: u8 = 9;
 /// How many ranks of routes lie between two ranks of organisations.
-const RANKS_PER_ORGANISATION: u8 = 3;
+const ROUTE_RANKS_PER_ORGANISATION: u8 = 3;
 
 /// The longest read that does not make a request less urgent; each doubling of it counts a
 /// step.
-const SHORT_READ: Duration = Duration::from_millis(16);
+const SHORT_PREFILL: Duration = Duration::from_millis(16);
 
 /// Returns the urgency of a request, 0 the highest.
 ///
 /// The organisation's rank goes first, then the route's. Of equal ones the shortest read goes
 /// first: a prompt of the small model takes tens of milliseconds, and would wait for a second
 /// behind one of the large model.
-pub fn urgency(organisation: u8, route: u8, reading: Duration) -> u8 {
-    let rank = organisation.saturating_mul(RANKS_PER_ORGANISATION);
-    rank.saturating_add(route.min(RANKS_PER_ORGANISATION - 1))
-        .saturating_add(doublings(reading))
-        .min(LEAST_URGENT)
+pub fn urgency(organisation: u8, route: u8, prefill: Duration) -> u8 {
+    let rank = organisation.saturating_mul(ROUTE_RANKS_PER_ORGANISATION);
+    rank.saturating_add(route.min(ROUTE_RANKS_PER_ORGANISATION - 1))
+        .saturating_add(doublings(prefill))
+        .min(LOWEST_URGENCY)
 }
 
 /// Returns how many times [`SHORT_READ`] has to be doubled to take as long as a read.
-fn doublings(reading: Duration) -> u8 {
-    let short_reads = reading.as_millis() / SHORT_READ.as_millis();
-    let doublings = short_reads.checked_ilog2().unwrap_or(0);
+fn doublings(prefill: Duration) -> u8 {
+    let short_prefills = prefill.as_millis() / SHORT_PREFILL.as_millis();
+    let doublings = short_prefills.checked_ilog2().unwrap_or(0);
     u8::try_from(doublings).unwrap_or(u8::MAX)
 }
 
--- a/src/gateway/attempt/probe.rs
+++ b/src/gateway/attempt/probe.rs
@@ -12,11 +12,11 @@
 use tokio::time::sleep;
 
 /// How often it is looked for upstreams that took no connection.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+const SCAN_INTERVAL: Duration = Duration::from_millis(50);
 /// The time between two probes of an upstream that took no connection.
 const PROBE_INTERVAL: Duration = Duration::from_millis(400);
 /// The time between two probes of all upstreams of a hall.
-const HALL_INTERVAL: Duration = Duration::from_millis(1500);
+const HALL_PROBE_INTERVAL: Duration = Duration::from_millis(1500);
 
 /// When upstreams and halls were probed last.
 #[derive(Debug, Default)]
@@ -26,10 +26,10 @@
 }
 
 /// Probes upstreams for as long as the process lives.
-pub async fn probe_unconnectable(gw: Rc<Gateway>) {
+pub async fn probe_unreachable_upstreams(gw: Rc<Gateway>) {
     let mut probes = Probes::default();
     loop {
-        sleep(LOOK_INTERVAL).await;
+        sleep(SCAN_INTERVAL).await;
         for upstream in probes.due(&gw, Now::read()) {
             let gw = gw.clone();
             actix_rt::spawn(async move { gw.connections.probe(&upstream).await });
@@ -41,23 +41,23 @@
     /// Returns the upstreams that should be probed now.
     fn due(&mut self, gw: &Gateway, now: Now) -> Vec<Rc<Upstream>> {
         let knowledge = gw.knowledge.borrow();
-        let unconnectable: Vec<&Rc<Upstream>> = knowledge
+        let unreachable: Vec<&Rc<Upstream>> = knowledge
             .upstreams()
-            .filter(|upstream| upstream.needs_connection())
+            .filter(|upstream| upstream.needs_connect_success())
             .collect();
-        if unconnectable.is_empty() {
+        if unreachable.is_empty() {
             self.upstreams.clear();
             return Vec::new();
         }
-        let halls: HashSet<String> = unconnectable
+        let halls: HashSet<String> = unreachable
             .iter()
             .map(|upstream| upstream.with_listed(|listed| listed.hall.clone()))
-            .filter(|hall| is_due(&mut self.halls, hall, HALL_INTERVAL, now))
+            .filter(|hall| is_due(&mut self.halls, hall, HALL_PROBE_INTERVAL, now))
             .collect();
         let of_halls = knowledge
             .upstreams()
             .filter(|upstream| upstream.with_listed(|listed| halls.contains(&listed.hall)));
-        let candidates: Vec<&Rc<Upstream>> = unconnectable.into_iter().chain(of_halls).collect();
+        let candidates: Vec<&Rc<Upstream>> = unreachable.into_iter().chain(of_halls).collect();
         candidates
             .into_iter()
             .filter(|upstream| {
--- a/src/gateway/attempt/quarantine.rs
+++ b/src/gateway/attempt/quarantine.rs
@@ -14,12 +14,12 @@
 pub struct Quarantine {
     ledger: RefCell<CrashLedger>,
     /// What other boxes have still to be told.
-    pub news: Outbox<SuspectNews>,
+    pub outbox: Outbox<QuarantineUpdate>,
 }
 
 /// What boxes tell each other of requests that were at crashes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum SuspectNews {
+pub enum QuarantineUpdate {
     /// What is known of some requests.
     Records(Vec<CrashRecord>),
     /// A request is on trial from now on.
@@ -35,21 +35,21 @@
     }
 
     /// Records a request that ran at an upstream when that crashed.
-    pub fn crashed(&self, life: LifeHash, request: Fingerprint, part: Part, now: Now) {
+    pub fn record_crash(&self, life: LifeHash, request: Fingerprint, part: Part, now: Now) {
         self.change(request, "crash", now, |ledger| {
             let record = ledger.crashed(life, request, part, now);
-            Some(SuspectNews::Records(vec![record]))
+            Some(QuarantineUpdate::Records(vec![record]))
         });
     }
 
     /// Records that a request was answered whole.
-    pub fn answered(&self, request: Fingerprint, now: Now) {
+    pub fn record_answer(&self, request: Fingerprint, now: Now) {
         if self.ledger.borrow().is_empty() {
             return;
         }
         self.change(request, "answer", now, |ledger| {
             let record = ledger.answered(request, now)?;
-            Some(SuspectNews::Records(vec![record]))
+            Some(QuarantineUpdate::Records(vec![record]))
         });
     }
 
@@ -57,7 +57,7 @@
     pub fn begin_trial(&self, request: Fingerprint, now: Now) {
         self.change(request, "trial", now, |ledger| {
             ledger.begin_trial(request, now);
-            Some(SuspectNews::TrialBegan(request))
+            Some(QuarantineUpdate::TrialBegan(request))
         });
     }
 
@@ -65,14 +65,14 @@
     pub fn end_trial(&self, request: Fingerprint, now: Now) {
         self.change(request, "trial", now, |ledger| {
             ledger.end_trial(request);
-            Some(SuspectNews::TrialEnded(request))
+            Some(QuarantineUpdate::TrialEnded(request))
         });
     }
 
     /// Takes what another box told.
-    pub fn take(&self, news: SuspectNews, now: Now) {
-        match news {
-            SuspectNews::Records(records) => {
+    pub fn apply_peer_update(&self, update: QuarantineUpdate, now: Now) {
+        match update {
+            QuarantineUpdate::Records(records) => {
                 for record in records {
                     self.change(record.request, "box", now, |ledger| {
                         ledger.take(&record, now);
@@ -80,17 +80,17 @@
                     });
                 }
             }
-            SuspectNews::TrialBegan(request) => {
+            QuarantineUpdate::TrialBegan(request) => {
                 self.ledger.borrow_mut().begin_trial(request, now);
             }
-            SuspectNews::TrialEnded(request) => {
+            QuarantineUpdate::TrialEnded(request) => {
                 self.ledger.borrow_mut().end_trial(request);
             }
         }
     }
 
     /// Returns what every box has to know.
-    pub fn to_tell(&self, now: Now) -> Vec<CrashRecord> {
+    pub fn records_to_share(&self, now: Now) -> Vec<CrashRecord> {
         self.ledger.borrow().to_tell(now)
     }
 
@@ -100,18 +100,18 @@
         request: Fingerprint,
         source: &str,
         now: Now,
-        change: impl FnOnce(&mut CrashLedger) -> Option<SuspectNews>,
+        change: impl FnOnce(&mut CrashLedger) -> Option<QuarantineUpdate>,
     ) {
         let before = self.standing(request, now);
-        let news = change(&mut self.ledger.borrow_mut());
+        let update = change(&mut self.ledger.borrow_mut());
         let standing = self.standing(request, now);
         if std::mem::discriminant(&before) != std::mem::discriminant(&standing) {
             let fingerprint = request.to_string();
             let fingerprint = fingerprint.as_str();
             log::warn!(fingerprint, source; "{}", standing.describe());
         }
-        if let Some(news) = news {
-            self.news.push(news);
+        if let Some(update) = update {
+            self.outbox.push(update);
         }
     }
 }
--- a/src/gateway/attempt/retries.rs
+++ b/src/gateway/attempt/retries.rs
@@ -10,21 +10,21 @@
 
 /// The part of the operators' ratio that a box spends, so that requests which arrive at
 /// the edge of a window do not break it.
-const SPENT_PART: f64 = 0.85;
+const USED_RATIO_FRACTION: f64 = 0.85;
 /// The part of the operators' slack that all boxes together spend. The rest is for boxes that
 /// start anew and do not know what their last life spent. Where it is not spent, poor answers of
 /// small models are passed on for want of a repeat.
-const SPENT_SLACK: f64 = 0.7;
+const USED_SLACK_FRACTION: f64 = 0.7;
 /// The most repeats that one box takes of the slack, however few boxes it knows: one that
 /// was cut off from the start knows none.
-const MOST_OWN_SLACK: f64 = 8.0;
+const MAX_OWN_SLACK_RETRIES: f64 = 8.0;
 /// The part of the budget that raising a request to a larger model may use; the rest is
 /// kept for failures.
-const ESCALATION_PART: f64 = 0.8;
+const ESCALATION_BUDGET_FRACTION: f64 = 0.8;
 
 /// Why a request is sent once more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryReason {
     /// An upstream failed or refused it.
     Failure,
     /// The answer of a smaller model was not good enough.
@@ -45,8 +45,8 @@
 impl RetryBound {
     /// Returns what one of so many boxes may take of the slack.
     fn own_slack(&self, boxes: usize) -> f64 {
-        let share = self.slack * SPENT_SLACK / boxes.max(1) as f64;
-        share.min(MOST_OWN_SLACK)
+        let share = self.slack * USED_SLACK_FRACTION / boxes.max(1) as f64;
+        share.min(MAX_OWN_SLACK_RETRIES)
     }
 }
 
@@ -55,8 +55,8 @@
 pub struct RetryWindow {
     bound: RetryBound,
     boxes: usize,
-    firsts: VecDeque<Duration>,
-    repeats: VecDeque<Duration>,
+    first_sends: VecDeque<Duration>,
+    retries: VecDeque<Duration>,
 }
 
 impl RetryWindow {
@@ -65,45 +65,45 @@
         Self {
             bound,
             boxes: 1,
-            firsts: VecDeque::new(),
-            repeats: VecDeque::new(),
+            first_sends: VecDeque::new(),
+            retries: VecDeque::new(),
         }
     }
 
     /// Takes note of how many boxes share the operators' slack.
-    pub fn share_among(&mut self, boxes: usize) {
+    pub fn set_box_count(&mut self, boxes: usize) {
         self.boxes = boxes;
     }
 
     /// Counts a request that is sent for the first time.
-    pub fn first(&mut self, now: Now) {
-        self.forget(now);
-        self.firsts.push_back(now.monotonic);
+    pub fn record_first(&mut self, now: Now) {
+        self.drop_expired(now);
+        self.first_sends.push_back(now.monotonic);
     }
 
     /// Takes a repeat out of the budget if there is enough left.
-    pub fn take(&mut self, repeat: Repeat, now: Now) -> bool {
-        let has_room = self.has_room(repeat, now);
-        if has_room {
-            self.repeats.push_back(now.monotonic);
+    pub fn try_spend(&mut self, reason: RetryReason, now: Now) -> bool {
+        let has_budget = self.has_budget(reason, now);
+        if has_budget {
+            self.retries.push_back(now.monotonic);
         }
-        has_room
+        has_budget
     }
 
     /// Tells whether a repeat could be taken now.
-    pub fn has_room(&mut self, repeat: Repeat, now: Now) -> bool {
-        self.forget(now);
-        let earned = self.firsts.len() as f64 * self.bound.ratio * SPENT_PART;
-        let part = match repeat {
-            Repeat::Failure => 1.0,
-            Repeat::Escalation => ESCALATION_PART,
+    pub fn has_budget(&mut self, reason: RetryReason, now: Now) -> bool {
+        self.drop_expired(now);
+        let earned = self.first_sends.len() as f64 * self.bound.ratio * USED_RATIO_FRACTION;
+        let part = match reason {
+            RetryReason::Failure => 1.0,
+            RetryReason::Escalation => ESCALATION_BUDGET_FRACTION,
         };
-        self.repeats.len() as f64 + 1.0 <= earned * part + self.bound.own_slack(self.boxes)
+        self.retries.len() as f64 + 1.0 <= earned * part + self.bound.own_slack(self.boxes)
     }
 
-    fn forget(&mut self, now: Now) {
+    fn drop_expired(&mut self, now: Now) {
         let oldest = now.monotonic.saturating_sub(self.bound.window);
-        for times in [&mut self.firsts, &mut self.repeats] {
+        for times in [&mut self.first_sends, &mut self.retries] {
             while times.front().is_some_and(|time| *time < oldest) {
                 times.pop_front();
             }
--- a/src/gateway/attempt/tries.rs
+++ b/src/gateway/attempt/tries.rs
@@ -1,6 +1,6 @@
 //! The tries of one request, and what they prove.
 
-use super::exchange::{NotRun, Tried};
+use super::exchange::{NotRunReason, TryOutcome};
 use super::upstream::Upstream;
 use crate::gateway::answer::refusal::{Ran, Why};
 use crate::gateway::control::store::UpstreamLife;
@@ -8,29 +8,33 @@
 
 /// The tries of a request.
 #[derive(Debug, Default)]
-pub struct Tries {
-    tried: RefCell<Vec<UpstreamLife>>,
-    runs: Cell<u32>,
+pub struct TryHistory {
+    tried_upstreams: RefCell<Vec<UpstreamLife>>,
+    possible_runs: Cell<u32>,
     may_have_run: Cell<bool>,
     refused: Cell<bool>,
-    sent: Cell<u32>,
-    counted: Cell<bool>,
+    sent_count: Cell<u32>,
+    counted_as_first: Cell<bool>,
 }
 
-impl Tries {
+impl TryHistory {
     /// Records what came of a try.
-    pub fn record(&self, tried: &Tried) {
+    pub fn record(&self, outcome: &TryOutcome) {
         if !matches!(
-            tried,
-            Tried::NotRun(NotRun::NoConnection(_) | NotRun::NotWanted)
+            outcome,
+            TryOutcome::NotRun(NotRunReason::NoConnection(_) | NotRunReason::Unavailable)
         ) {
-            self.sent.set(self.sent.get() + 1);
+            self.sent_count.set(self.sent_count.get() + 1);
         }
-        match tried {
-            Tried::NotRun(NotRun::Refused(_)) => self.refused.set(true),
-            Tried::NotRun(NotRun::OtherInstance | NotRun::NoConnection(_) | NotRun::NotWanted) => {}
-            Tried::Answered(_) | Tried::Unknown(_) => {
-                self.runs.set(self.runs.get() + 1);
+        match outcome {
+            TryOutcome::NotRun(NotRunReason::Refused(_)) => self.refused.set(true),
+            TryOutcome::NotRun(
+                NotRunReason::OtherInstance
+                | NotRunReason::NoConnection(_)
+                | NotRunReason::Unavailable,
+            ) => {}
+            TryOutcome::Answered(_) | TryOutcome::Unknown(_) => {
+                self.possible_runs.set(self.possible_runs.get() + 1);
                 self.may_have_run.set(true);
             }
         }
@@ -40,18 +44,18 @@
     ///
     /// Tries that found no connection are not repeats, but they must not earn the budget
     /// of a first request each time either.
-    pub fn count_first(&self) -> bool {
-        !self.counted.replace(true)
+    pub fn count_first_once(&self) -> bool {
+        !self.counted_as_first.replace(true)
     }
 
     /// Returns the lives of upstreams that should not be asked again.
-    pub fn tried(&self) -> Vec<UpstreamLife> {
-        self.tried.borrow().clone()
+    pub fn tried_upstreams(&self) -> Vec<UpstreamLife> {
+        self.tried_upstreams.borrow().clone()
     }
 
     /// Returns the number of tries that may have run.
-    pub fn runs(&self) -> u32 {
-        self.runs.get()
+    pub fn possible_runs(&self) -> u32 {
+        self.possible_runs.get()
     }
 
     /// Tells what may be said of the request.
@@ -63,7 +67,7 @@
     }
 
     /// Returns why no upstream is left: they refused, or there was none.
-    pub fn exhausted(&self) -> Why {
+    pub fn exhausted_reason(&self) -> Why {
         match (self.ran(), self.refused.get()) {
             (Ran::Perhaps, _) => Why::UpstreamFailed,
             (Ran::Nowhere, true) => Why::Full,
@@ -72,17 +76,19 @@
     }
 
     /// Returns the number of tries that reached an upstream.
-    pub fn sent(&self) -> u32 {
-        self.sent.get()
+    pub fn sent_count(&self) -> u32 {
+        self.sent_count.get()
     }
 
     /// Forgets which upstreams were tried, so that all may be asked again.
-    pub fn allow_all(&self) {
-        self.tried.borrow_mut().clear();
+    pub fn allow_all_upstreams(&self) {
+        self.tried_upstreams.borrow_mut().clear();
     }
 
     /// Records that the try's answer was dropped though it ran.
-    pub fn exclude(&self, upstream: &Upstream) {
-        self.tried.borrow_mut().push(upstream.life().clone());
+    pub fn exclude_upstream(&self, upstream: &Upstream) {
+        self.tried_upstreams
+            .borrow_mut()
+            .push(upstream.life().clone());
     }
 }
--- a/src/gateway/attempt/upstream.rs
+++ b/src/gateway/attempt/upstream.rs
@@ -1,10 +1,10 @@
 //! What a box knows of each upstream: what it lists of itself, and how it behaves.
 
-use super::protocol::ReportedLoad;
+use super::headers::ReportedLoad;
 use crate::clock::Now;
 use crate::gateway::control::store::{ListedUpstream, UpstreamLife};
-use crate::gateway::place::choose::draw;
-use crate::gateway::place::warm_up::{Fleet, WarmUp, WarmingUp};
+use crate::gateway::place::choose::stable_hash;
+use crate::gateway::place::warm_up::{FleetView, WarmUp, WarmUpState};
 use crate::routing::placement::{LoadGuard, UpstreamLoad};
 use crate::routing::rest::AskedRest;
 use crate::routing::signs::Signs;
@@ -18,25 +18,25 @@
 /// a second, short enough that it is tried again within seconds.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(4);
 /// Imagined good answers that keep one failure of a new upstream from ruling it out.
-const PRIOR_ANSWERS: f64 = 3.0;
+const PRIOR_SUCCESSES: f64 = 3.0;
 /// How long an upstream that did not even take a connection, or that fell silent, gets
 /// only what no other can take; the list drops a crashed one after three heartbeats.
-const FIRST_REST: Duration = Duration::from_millis(1200);
+const INITIAL_BACK_OFF: Duration = Duration::from_millis(1200);
 /// The longest rest; each one in a row takes twice as long as the one before.
-const LONGEST_REST: Duration = Duration::from_secs(5);
+const MAX_BACK_OFF: Duration = Duration::from_secs(5);
 /// Rests after which they do not grow any more.
-const MOST_DOUBLINGS: u32 = 4;
+const MAX_BACK_OFF_DOUBLINGS: u32 = 4;
 /// How long a report of load is trusted; upstreams serve from two requests a second up.
-const REPORT_LIFETIME: Duration = Duration::from_secs(2);
+const LOAD_REPORT_LIFETIME: Duration = Duration::from_secs(2);
 
 /// Fullness that a failure rate of one counts for, so that an upstream which fails some
 /// of its requests loses to any that is not nearly full.
-const FAILURE_WEIGHT: f64 = 4.0;
+const FAILURE_RATE_PENALTY_SLOT_FRACTION: f64 = 4.0;
 /// Failure rates below this are taken for chance.
-const TOLERATED_FAILURES: f64 = 0.2;
+const TOLERATED_FAILURE_RATE: f64 = 0.2;
 /// What resting counts for: more than all else together, since the upstream did not even
 /// take a connection.
-const RESTING: f64 = 100.0;
+const BACK_OFF_PENALTY_SLOT_FRACTION: f64 = 100.0;
 
 /// One life of an upstream, shared by all requests of the box.
 #[derive(Debug)]
@@ -46,77 +46,77 @@
     listed: RefCell<ListedUpstream>,
     load: Arc<UpstreamLoad>,
     health: Cell<Health>,
-    report: Cell<Option<Report>>,
+    report: Cell<Option<LoadReport>>,
     lapsed_at: Cell<Option<Duration>>,
-    unread: Rc<Cell<Duration>>,
-    elsewhere: Cell<Elsewhere>,
-    heard_at: Cell<Duration>,
-    says_it_leaves: Cell<bool>,
-    asked_rest: Cell<AskedRest>,
-    warming_up: Cell<WarmingUp>,
+    pending_prefill: Rc<Cell<Duration>>,
+    peer_load: Cell<PeerLoad>,
+    last_data_at: Cell<Duration>,
+    is_leaving: Cell<bool>,
+    retry_after: Cell<AskedRest>,
+    warm_up: Cell<WarmUpState>,
     is_evacuated: Cell<bool>,
 }
 
 /// What other boxes have under way at an upstream, as they told it last.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Elsewhere {
+pub struct PeerLoad {
     /// How long reading the prompts that wait takes.
-    pub unread: Duration,
+    pub pending_prefill: Duration,
     /// Requests under way.
     pub outstanding: u32,
     /// When this was so.
     pub as_of: Duration,
 }
 
-impl Elsewhere {
+impl PeerLoad {
     /// Returns what is left to read by now, since the engine has read on.
-    fn unread_by(self, now: Now) -> Duration {
+    fn remaining_prefill(self, now: Now) -> Duration {
         let age = now.monotonic.saturating_sub(self.as_of);
-        self.unread.saturating_sub(age)
+        self.pending_prefill.saturating_sub(age)
     }
 }
 
 /// Counts a prompt out when its first event came or the try ended.
 #[derive(Debug)]
-pub struct Unread {
+pub struct PendingPrefill {
     total: Rc<Cell<Duration>>,
-    reading: Duration,
+    prefill: Duration,
 }
 
-impl Drop for Unread {
+impl Drop for PendingPrefill {
     fn drop(&mut self) {
         self.total
-            .set(self.total.get().saturating_sub(self.reading));
+            .set(self.total.get().saturating_sub(self.prefill));
     }
 }
 
 /// A report of load, and what this box has sent since.
 #[derive(Debug, Clone, Copy)]
-struct Report {
+struct LoadReport {
     load: ReportedLoad,
     at: Duration,
-    outstanding_then: u32,
+    outstanding_at_report: u32,
 }
 
 /// Answers and failures of late, each fading with time.
 #[derive(Debug, Clone, Copy, Default)]
 struct Health {
-    answers: f64,
+    successes: f64,
     failures: f64,
-    updated: Duration,
-    rests_until: Duration,
-    rests_in_a_row: u32,
+    updated_at: Duration,
+    back_off_until: Duration,
+    consecutive_back_offs: u32,
     /// Whether the upstream took no connection, so that one has to succeed first.
-    unconnectable: bool,
+    connect_failed: bool,
 }
 
 impl Health {
-    fn faded(mut self, now: Now) -> Self {
-        let age = now.monotonic.saturating_sub(self.updated);
+    fn decayed(mut self, now: Now) -> Self {
+        let age = now.monotonic.saturating_sub(self.updated_at);
         let factor = 0.5f64.powf(age.as_secs_f64() / FAILURE_HALF_LIFE.as_secs_f64());
-        self.answers *= factor;
+        self.successes *= factor;
         self.failures *= factor;
-        self.updated = now.monotonic;
+        self.updated_at = now.monotonic;
         self
     }
 }
@@ -127,19 +127,19 @@
         let life = listed.life();
         Rc::new(Self {
             // The lower half of a hash is as good as any other.
-            short_hash: draw(&life.to_string()) as u32,
+            short_hash: stable_hash(&life.to_string()) as u32,
             life,
             listed: RefCell::new(listed),
             load: Arc::default(),
             health: Cell::default(),
             report: Cell::default(),
             lapsed_at: Cell::default(),
-            unread: Rc::default(),
-            elsewhere: Cell::default(),
-            heard_at: Cell::default(),
-            says_it_leaves: Cell::default(),
-            asked_rest: Cell::default(),
-            warming_up: Cell::default(),
+            pending_prefill: Rc::default(),
+            peer_load: Cell::default(),
+            last_data_at: Cell::default(),
+            is_leaving: Cell::default(),
+            retry_after: Cell::default(),
+            warm_up: Cell::default(),
             is_evacuated: Cell::default(),
         })
     }
@@ -168,7 +168,7 @@
     }
 
     /// Takes a newer entry of the same life.
-    pub fn relist(&self, listed: ListedUpstream) {
+    pub fn update_listing(&self, listed: ListedUpstream) {
         self.lapsed_at.set(None);
         *self.listed.borrow_mut() = listed;
     }
@@ -186,7 +186,7 @@
     }
 
     /// Counts a request in until the guard is dropped.
-    pub fn enter(&self) -> LoadGuard {
+    pub fn begin_request(&self) -> LoadGuard {
         self.load.enter()
     }
 
@@ -196,45 +196,46 @@
     }
 
     /// Counts a prompt that takes so long to read as waiting until the guard is dropped.
-    pub fn begin_reading(&self, reading: Duration) -> Unread {
-        self.unread.set(self.unread.get() + reading);
-        Unread {
-            total: self.unread.clone(),
-            reading,
+    pub fn begin_prefill(&self, prefill: Duration) -> PendingPrefill {
+        self.pending_prefill
+            .set(self.pending_prefill.get() + prefill);
+        PendingPrefill {
+            total: self.pending_prefill.clone(),
+            prefill,
         }
     }
 
     /// Returns how long reading takes what this box sent and the upstream has not read yet.
-    pub fn own_unread(&self) -> Duration {
-        self.unread.get()
+    pub fn own_pending_prefill(&self) -> Duration {
+        self.pending_prefill.get()
     }
 
     /// Returns how long reading takes what all boxes sent and the upstream has not read yet.
-    pub fn unread(&self, now: Now) -> Duration {
-        self.unread.get() + self.elsewhere.get().unread_by(now)
+    pub fn pending_prefill(&self, now: Now) -> Duration {
+        self.pending_prefill.get() + self.peer_load.get().remaining_prefill(now)
     }
 
     /// Takes what other boxes have under way here.
-    pub fn set_elsewhere(&self, elsewhere: Elsewhere) {
-        self.elsewhere.set(elsewhere);
+    pub fn set_peer_load(&self, peer_load: PeerLoad) {
+        self.peer_load.set(peer_load);
     }
 
     /// Adds a long read that another box begins here.
-    pub fn add_elsewhere(&self, reading: Duration, now: Now) {
-        let known = self.elsewhere.get();
-        self.elsewhere.set(Elsewhere {
-            unread: known.unread_by(now) + reading,
+    pub fn add_peer_prefill(&self, prefill: Duration, now: Now) {
+        let known = self.peer_load.get();
+        self.peer_load.set(PeerLoad {
+            pending_prefill: known.remaining_prefill(now) + prefill,
             outstanding: known.outstanding + 1,
             as_of: now.monotonic,
         });
     }
 
     /// Takes a report of load out of an answer.
-    pub fn reported(&self, load: ReportedLoad, now: Now) {
-        self.report.set(Some(Report {
+    pub fn record_load_report(&self, load: ReportedLoad, now: Now) {
+        self.report.set(Some(LoadReport {
             load,
             at: now.monotonic,
-            outstanding_then: self.outstanding(),
+            outstanding_at_report: self.outstanding(),
         }));
     }
 
@@ -242,157 +243,163 @@
     pub fn occupancy(&self, now: Now) -> u32 {
         let own = self.outstanding();
         match self.report.get() {
-            Some(report) if now.monotonic.saturating_sub(report.at) < REPORT_LIFETIME => {
+            Some(report) if now.monotonic.saturating_sub(report.at) < LOAD_REPORT_LIFETIME => {
                 let others = report.load.running + report.load.waiting;
                 (others + own)
-                    .saturating_sub(report.outstanding_then)
+                    .saturating_sub(report.outstanding_at_report)
                     .max(own)
             }
-            _ => own + self.elsewhere.get().outstanding,
+            _ => own + self.peer_load.get().outstanding,
         }
     }
 
     /// Returns the occupied part of the slots; over one means that requests wait.
-    pub fn fullness(&self, now: Now) -> f64 {
+    pub fn slot_utilization(&self, now: Now) -> f64 {
         let slots = self.listed.borrow().slots.max(1);
         f64::from(self.occupancy(now)) / f64::from(slots)
     }
 
     /// Records a whole answer.
-    pub fn answered(&self, now: Now) {
-        let mut health = self.health.get().faded(now);
-        health.answers += 1.0;
-        health.rests_until = Duration::ZERO;
-        health.rests_in_a_row = 0;
-        health.unconnectable = false;
+    pub fn record_success(&self, now: Now) {
+        let mut health = self.health.get().decayed(now);
+        health.successes += 1.0;
+        health.back_off_until = Duration::ZERO;
+        health.consecutive_back_offs = 0;
+        health.connect_failed = false;
         self.health.set(health);
     }
 
     /// Records a request that the upstream failed though it took it.
-    pub fn failed(&self, now: Now) {
-        let mut health = self.health.get().faded(now);
+    pub fn record_failure(&self, now: Now) {
+        let mut health = self.health.get().decayed(now);
         health.failures += 1.0;
         self.health.set(health);
     }
 
     /// Records that the upstream fell silent.
-    pub fn fell_silent(&self, now: Now) {
-        self.rest(now, false);
+    pub fn record_timeout(&self, now: Now) {
+        self.start_back_off(now, false);
     }
 
     /// Records that the upstream took no connection.
-    pub fn unconnectable(&self, now: Now) {
-        self.rest(now, true);
+    pub fn record_connect_failure(&self, now: Now) {
+        self.start_back_off(now, true);
     }
 
-    fn rest(&self, now: Now, unconnectable: bool) {
-        let mut health = self.health.get().faded(now);
+    fn start_back_off(&self, now: Now, connect_failed: bool) {
+        let mut health = self.health.get().decayed(now);
         health.failures += 1.0;
-        health.unconnectable |= unconnectable;
+        health.connect_failed |= connect_failed;
         // Requests that fail together count as one reason to rest.
-        if now.monotonic >= health.rests_until {
-            let rest = FIRST_REST * 2u32.saturating_pow(health.rests_in_a_row);
-            health.rests_until = now.monotonic + rest.min(LONGEST_REST);
-            health.rests_in_a_row = (health.rests_in_a_row + 1).min(MOST_DOUBLINGS);
+        if now.monotonic >= health.back_off_until {
+            let back_off = INITIAL_BACK_OFF * 2u32.saturating_pow(health.consecutive_back_offs);
+            health.back_off_until = now.monotonic + back_off.min(MAX_BACK_OFF);
+            health.consecutive_back_offs =
+                (health.consecutive_back_offs + 1).min(MAX_BACK_OFF_DOUBLINGS);
         }
         self.health.set(health);
     }
 
     /// Records that the upstream takes connections.
-    pub fn connectable(&self) {
+    pub fn record_connect_success(&self) {
         let mut health = self.health.get();
-        if health.unconnectable {
-            health.unconnectable = false;
-            health.rests_until = Duration::ZERO;
+        if health.connect_failed {
+            health.connect_failed = false;
+            health.back_off_until = Duration::ZERO;
             self.health.set(health);
         }
     }
 
     /// Tells whether a connection has to succeed before the upstream is used again.
-    pub fn needs_connection(&self) -> bool {
-        self.health.get().unconnectable
+    pub fn needs_connect_success(&self) -> bool {
+        self.health.get().connect_failed
     }
 
     /// Tells whether the upstream should get only what no other can take.
-    pub fn rests(&self, now: Now) -> bool {
+    pub fn is_backing_off(&self, now: Now) -> bool {
         let health = self.health.get();
-        health.unconnectable || now.monotonic < health.rests_until
+        health.connect_failed || now.monotonic < health.back_off_until
     }
 
     /// Takes what the head of an answer says; that it leaves is never taken back.
-    pub fn take_signs(&self, signs: Signs, now: Now) {
+    pub fn apply_head_signs(&self, signs: Signs, now: Now) {
         if signs.leaves {
-            self.says_it_leaves.set(true);
+            self.is_leaving.set(true);
         }
         if let Some(rest) = signs.rest {
-            self.asked_for_rest(rest, now);
+            self.set_retry_after(rest, now);
         }
         if !signs.is_refusal {
-            self.took_request(now);
+            self.record_accepted_request(now);
         }
     }
 
     /// Tells whether an answer of the upstream said that it leaves.
-    pub fn says_it_leaves(&self) -> bool {
-        self.says_it_leaves.get()
+    pub fn is_leaving(&self) -> bool {
+        self.is_leaving.get()
     }
 
     /// Records that the upstream wants nothing from this box for so long.
-    pub fn asked_for_rest(&self, rest: Duration, now: Now) {
-        let mut asked = self.asked_rest.get();
+    pub fn set_retry_after(&self, rest: Duration, now: Now) {
+        let mut asked = self.retry_after.get();
         asked.ask(rest, now);
-        self.asked_rest.set(asked);
+        self.retry_after.set(asked);
     }
 
     /// Records that the upstream took a request.
-    pub fn took_request(&self, now: Now) {
-        let mut asked = self.asked_rest.get();
+    pub fn record_accepted_request(&self, now: Now) {
+        let mut asked = self.retry_after.get();
         asked.took_request(now);
-        self.asked_rest.set(asked);
+        self.retry_after.set(asked);
     }
 
     /// Tells whether a rest goes on that the upstream asked for.
-    pub fn is_resting_as_asked(&self, now: Now) -> bool {
-        self.asked_rest.get().goes_on(now)
+    pub fn is_in_retry_after(&self, now: Now) -> bool {
+        self.retry_after.get().goes_on(now)
     }
 
     /// Returns how long the upstream takes no request of this box because it asked for rest; none
     /// if it takes one now.
-    pub fn asked_rest_left(&self, now: Now) -> Option<Duration> {
-        self.asked_rest.get().left(self.outstanding(), now)
+    pub fn retry_after_left(&self, now: Now) -> Option<Duration> {
+        self.retry_after.get().left(self.outstanding(), now)
     }
 
     /// Records that the upstream warms up for so long from now on.
-    pub fn begin_warm_up(&self, lasts: Duration, now: Now) {
-        let mut warming_up = self.warming_up.get();
-        warming_up.begin(lasts, now);
-        self.warming_up.set(warming_up);
+    pub fn begin_warm_up(&self, duration: Duration, now: Now) {
+        let mut state = self.warm_up.get();
+        state.begin(duration, now);
+        self.warm_up.set(state);
     }
 
     /// Tells whether the upstream warms up.
     pub fn is_warming_up(&self, now: Now) -> bool {
-        self.warming_up.get().goes_on(now)
+        self.warm_up.get().is_active(now)
     }
 
     /// Returns how much longer the upstream warms up; zero once it is warm.
     pub fn warm_up_left(&self, now: Now) -> Duration {
-        self.warming_up.get().left(now)
+        self.warm_up.get().remaining(now)
     }
 
     /// Returns how long this box has to wait before it may send a request to the upstream, which
     /// warms up; none if it may now.
-    pub fn turn_left(&self, warm_up: WarmUp, fleet: Fleet<'_>, now: Now) -> Option<Duration> {
-        let mut warming_up = self.warming_up.get();
-        let left = warming_up.wait(self.short_hash, warm_up, fleet, now);
-        self.warming_up.set(warming_up);
-        left
+    pub fn warm_up_delay(
+        &self,
+        limits: WarmUp,
+        fleet: FleetView<'_>,
+        now: Now,
+    ) -> Option<Duration> {
+        let mut state = self.warm_up.get();
+        let delay = state.send_delay(self.short_hash, limits, fleet, now);
+        self.warm_up.set(state);
+        delay
     }
 
     /// Records that a request is about to go out.
-    pub fn take_turn(&self, now: Now) {
-        let mut warming_up = self.warming_up.get();
-        warming_up.sent(now);
-        self.warming_up.set(warming_up);
+    pub fn record_warm_up_send(&self, now: Now) {
+        let mut state = self.warm_up.get();
+        state.record_send(now);
+        self.warm_up.set(state);
     }
 
     /// Records whether the operators have evacuated the upstream's hall.
@@ -406,35 +413,39 @@
     }
 
     /// Records that something came from the upstream.
-    pub fn heard(&self, now: Now) {
-        self.heard_at.set(now.monotonic);
+    pub fn record_data_received(&self, now: Now) {
+        self.last_data_at.set(now.monotonic);
     }
 
     /// Returns how long nothing has come from the upstream to any request of this box,
     /// counted from a moment at the earliest.
-    pub fn silent_since(&self, moment: Duration, now: Now) -> Duration {
+    pub fn time_without_data(&self, moment: Duration, now: Now) -> Duration {
         now.monotonic
-            .saturating_sub(moment.max(self.heard_at.get()))
+            .saturating_sub(moment.max(self.last_data_at.get()))
     }
 
     /// Returns how little the upstream is wanted, in parts of its slots: how full it is, how
     /// often it fails, and whether it rests.
     pub fn penalty(&self, now: Now) -> f64 {
-        let rests = if self.rests(now) { RESTING } else { 0.0 };
-        self.fullness(now) + self.failure_penalty(now) + rests
+        let back_off = if self.is_backing_off(now) {
+            BACK_OFF_PENALTY_SLOT_FRACTION
+        } else {
+            0.0
+        };
+        self.slot_utilization(now) + self.failure_penalty(now) + back_off
     }
 
     fn failure_penalty(&self, now: Now) -> f64 {
         let rate = self.failure_rate(now);
-        match rate > TOLERATED_FAILURES {
-            true => rate * FAILURE_WEIGHT,
+        match rate > TOLERATED_FAILURE_RATE {
+            true => rate * FAILURE_RATE_PENALTY_SLOT_FRACTION,
             false => 0.0,
         }
     }
 
     /// Returns the part of requests that it failed of late, from 0 to 1.
     pub fn failure_rate(&self, now: Now) -> f64 {
-        let health = self.health.get().faded(now);
-        health.failures / (health.answers + health.failures + PRIOR_ANSWERS)
+        let health = self.health.get().decayed(now);
+        health.failures / (health.successes + health.failures + PRIOR_SUCCESSES)
     }
 }
--- a/src/gateway/control/knowledge.rs
+++ b/src/gateway/control/knowledge.rs
@@ -186,7 +186,7 @@
                 Change::Nothing
             }
             Some(known) => {
-                known.relist(listed);
+                known.update_listing(listed);
                 Change::UpstreamChanged(instance)
             }
             None => {
@@ -243,7 +243,7 @@
             upstream.set_evacuated(false);
             let service = upstream.with_listed(|listed| listed.service.clone());
             if let Some(warm_up) = self.warm_up(&service) {
-                upstream.begin_warm_up(warm_up.lasts, now);
+                upstream.begin_warm_up(warm_up.duration, now);
             }
         }
         Change::HallReturned(hall)
--- a/src/gateway/peers/heard.rs
+++ b/src/gateway/peers/heard.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Now;
 use crate::gateway::control::store::BoxEntry;
-use crate::gateway::place::loads::interval;
+use crate::gateway::place::peer_loads::report_interval;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 
 /// Returns how long a box of which nothing is heard is taken to be there, among so many.
 fn patience(boxes: usize) -> Duration {
-    LIFETIME.max(interval(boxes) * LIFETIME_INTERVALS)
+    LIFETIME.max(report_interval(boxes) * LIFETIME_INTERVALS)
 }
 
 /// The moments at which something came from each box. A box that was killed, paused or cut off
--- a/src/gateway/peers/messages.rs
+++ b/src/gateway/peers/messages.rs
@@ -24,11 +24,11 @@
 use crate::clock::{Now, millis};
 use crate::error::{Error, Result};
 use crate::gateway::Gateway;
-use crate::gateway::attempt::quarantine::SuspectNews;
+use crate::gateway::attempt::quarantine::QuarantineUpdate;
 use crate::gateway::control::membership::leads;
 use crate::gateway::control::rollout::Rollout;
 use crate::gateway::control::store::{ControlStore, RolloutOrder};
-use crate::gateway::place::loads::{BoxLoad, LongRead, interval};
+use crate::gateway::place::peer_loads::{BoxLoad, LongPrefill, report_interval};
 use crate::gateway::versions::observed::Report;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -67,9 +67,9 @@
     /// store, and the sessions' hashes.
     OldSessions(u64, Vec<u64>),
     /// The sender begins long reads.
-    LongReads(Vec<LongRead>),
+    LongReads(Vec<LongPrefill>),
     /// What the sender knows of requests that were at crashes.
-    Suspects(SuspectNews),
+    Suspects(QuarantineUpdate),
     /// Upstreams have said that they leave, by their hashes.
     Leaving(Vec<u32>),
 }
@@ -141,15 +141,15 @@
             gw.knowledge.borrow_mut().hear_elapsed(order, elapsed, now);
         }
         PeerMessage::FoundBad(order) => gw.take_finding(order, &from.to_string()),
-        PeerMessage::Load(load) => gw.loads.borrow_mut().take(load, now),
+        PeerMessage::Load(load) => gw.loads.borrow_mut().set_report(load, now),
         PeerMessage::LongReads(reads) => {
             let knowledge = gw.knowledge.borrow();
             let mut loads = gw.loads.borrow_mut();
             for read in reads {
-                loads.take_long_read(read, &knowledge, now);
+                loads.add_long_prefill(read, &knowledge, now);
             }
         }
-        PeerMessage::Suspects(news) => gw.quarantine.take(news, now),
+        PeerMessage::Suspects(news) => gw.quarantine.apply_peer_update(news, now),
         PeerMessage::Leaving(hashes) => gw.take_leaving(&hashes, now),
         PeerMessage::OldSessions(order, sessions) => {
             gw.sessions.borrow_mut().keep_old(order, &sessions);
@@ -301,8 +301,8 @@
     let mut was_idle = true;
     loop {
         let others = gw.other_boxes();
-        sleep(interval(others.len())).await;
-        let load = BoxLoad::of(&gw.life, &gw.knowledge.borrow());
+        sleep(report_interval(others.len())).await;
+        let load = BoxLoad::collect(&gw.life, &gw.knowledge.borrow());
         let is_idle = load.is_idle();
         // While a version is under trial, a silent box is taken for one that is gone.
         let has_trial = gw.knowledge.borrow().has_rollout();
@@ -312,7 +312,7 @@
         was_idle = is_idle;
         let now = Now::read();
         let knowledge = gw.knowledge.borrow();
-        gw.loads.borrow_mut().spread(&knowledge, now);
+        gw.loads.borrow_mut().apply_to_upstreams(&knowledge, now);
     }
 }
 
--- a/src/gateway/peers/suspects.rs
+++ b/src/gateway/peers/suspects.rs
@@ -6,7 +6,7 @@
 use crate::clock::Now;
 use crate::crash_ledger::CrashRecord;
 use crate::gateway::Gateway;
-use crate::gateway::attempt::quarantine::SuspectNews;
+use crate::gateway::attempt::quarantine::QuarantineUpdate;
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,13 +19,13 @@
 const RECORDS_PER_DATAGRAM: usize = 100;
 
 /// Tells what this box sees and knows, for as long as the process lives.
-pub async fn tell_suspects(gw: &Gateway, send: impl AsyncFn(&[SocketAddr], SuspectNews)) {
+pub async fn tell_suspects(gw: &Gateway, send: impl AsyncFn(&[SocketAddr], QuarantineUpdate)) {
     tokio::join!(tell_news(gw, &send), tell_all_in_turn(gw, &send));
 }
 
-async fn tell_news(gw: &Gateway, send: &impl AsyncFn(&[SocketAddr], SuspectNews)) {
+async fn tell_news(gw: &Gateway, send: &impl AsyncFn(&[SocketAddr], QuarantineUpdate)) {
     loop {
-        let news = gw.quarantine.news.next().await;
+        let news = gw.quarantine.outbox.next().await;
         let others = gw.other_boxes();
         for news in batch(news) {
             send(&others, news).await;
@@ -34,27 +34,27 @@
 }
 
 /// Joins records, so that what ran at one crashed upstream goes out together.
-fn batch(news: Vec<SuspectNews>) -> Vec<SuspectNews> {
+fn batch(news: Vec<QuarantineUpdate>) -> Vec<QuarantineUpdate> {
     let mut records: Vec<CrashRecord> = Vec::new();
     let mut batched = Vec::new();
     for news in news {
         match news {
-            SuspectNews::Records(more) => records.extend(more),
-            SuspectNews::TrialBegan(_) | SuspectNews::TrialEnded(_) => batched.push(news),
+            QuarantineUpdate::Records(more) => records.extend(more),
+            QuarantineUpdate::TrialBegan(_) | QuarantineUpdate::TrialEnded(_) => batched.push(news),
         }
     }
     let parts = records.chunks(RECORDS_PER_DATAGRAM);
-    batched.extend(parts.map(|part| SuspectNews::Records(part.to_vec())));
+    batched.extend(parts.map(|part| QuarantineUpdate::Records(part.to_vec())));
     batched
 }
 
-async fn tell_all_in_turn(gw: &Gateway, send: &impl AsyncFn(&[SocketAddr], SuspectNews)) {
+async fn tell_all_in_turn(gw: &Gateway, send: &impl AsyncFn(&[SocketAddr], QuarantineUpdate)) {
     let mut known = HashSet::new();
     let mut turn = own_place(gw);
     loop {
         sleep(ROUND_INTERVAL).await;
         let joined = newly_registered(gw, &mut known);
-        let records = gw.quarantine.to_tell(Now::read());
+        let records = gw.quarantine.records_to_share(Now::read());
         let others = gw.other_boxes();
         if records.is_empty() || others.is_empty() {
             continue;
@@ -63,7 +63,7 @@
         let mut told = joined;
         told.push(others[turn]);
         for part in records.chunks(RECORDS_PER_DATAGRAM) {
-            send(&told, SuspectNews::Records(part.to_vec())).await;
+            send(&told, QuarantineUpdate::Records(part.to_vec())).await;
         }
     }
 }
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -1,10 +1,10 @@
 //! Which upstream, and which model, a request is to go to.
 
+pub mod cache_affinity;
 pub mod candidates;
 pub mod choose;
 pub mod engine_cost;
-pub mod keepers;
-pub mod loads;
-pub mod models;
-pub mod reading;
+pub mod escalation;
+pub mod peer_loads;
+pub mod prefill_rate;
 pub mod warm_up;
--- a/src/gateway/place/keepers.rs
+++ b/src/gateway/place/cache_affinity.rs
@@ -10,31 +10,37 @@
 
 /// How many engines are expected to keep the same beginning of prompts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Spread {
+pub enum CacheReplication {
     /// One of all halls: each one more reads it once more, which takes long and is priced.
     OneEngine,
     /// One in each hall, so that requests need not leave their hall: for models that read
     /// fast, a second read costs less than the ways between halls.
-    OneEngineAHall,
+    OneEnginePerHall,
 }
 
 /// The engines that are expected to keep one beginning.
 #[derive(Debug)]
-pub struct Keepers {
+pub struct CachingEngines {
     instances: Vec<String>,
 }
 
-impl Keepers {
+impl CachingEngines {
     /// Finds the engines among candidates that keep the beginning of this name.
-    pub fn among(candidates: &[&Rc<Upstream>], name: &str, spread: Spread) -> Self {
-        let seed = xxh3_64(name.as_bytes());
-        let instances = match spread {
-            Spread::OneEngine => highest(candidates.iter(), seed).into_iter().collect(),
-            Spread::OneEngineAHall => halls(candidates)
+    pub fn among(
+        candidates: &[&Rc<Upstream>],
+        prefix_key: &str,
+        replication: CacheReplication,
+    ) -> Self {
+        let seed = xxh3_64(prefix_key.as_bytes());
+        let instances = match replication {
+            CacheReplication::OneEngine => highest_weight(candidates.iter(), seed)
+                .into_iter()
+                .collect(),
+            CacheReplication::OneEnginePerHall => halls(candidates)
                 .iter()
                 .filter_map(|hall| {
                     let in_hall = candidates.iter().filter(|found| is_in(found, hall));
-                    highest(in_hall, seed)
+                    highest_weight(in_hall, seed)
                 })
                 .collect(),
         };
@@ -48,13 +54,16 @@
 }
 
 /// Returns the rank of an upstream in the order of a seed; the highest goes first.
-pub fn rank(upstream: &Upstream, seed: u64) -> u64 {
+pub fn rendezvous_weight(upstream: &Upstream, seed: u64) -> u64 {
     upstream.with_listed(|listed| xxh3_64_with_seed(listed.instance.as_bytes(), seed))
 }
 
-fn highest<'a>(upstreams: impl Iterator<Item = &'a &'a Rc<Upstream>>, seed: u64) -> Option<String> {
-    let highest = upstreams.max_by_key(|upstream| rank(upstream, seed))?;
-    Some(highest.with_listed(|listed| listed.instance.clone()))
+fn highest_weight<'a>(
+    upstreams: impl Iterator<Item = &'a &'a Rc<Upstream>>,
+    seed: u64,
+) -> Option<String> {
+    let highest_weight = upstreams.max_by_key(|upstream| rendezvous_weight(upstream, seed))?;
+    Some(highest_weight.with_listed(|listed| listed.instance.clone()))
 }
 
 fn halls(candidates: &[&Rc<Upstream>]) -> Vec<String> {
--- a/src/gateway/place/candidates.rs
+++ b/src/gateway/place/candidates.rs
@@ -1,6 +1,6 @@
 //! Which upstreams may get a request of a service now.
 
-use super::warm_up::Fleet;
+use super::warm_up::FleetView;
 use crate::clock::Now;
 use crate::gateway::Gateway;
 use crate::gateway::attempt::upstream::Upstream;
@@ -12,18 +12,18 @@
 
 /// Why an upstream takes no request of this box, and for how long.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Pause {
+pub enum BackOff {
     /// It has asked this box for rest.
-    Resting(Duration),
+    RetryAfter(Duration),
     /// It warms up, and this box has no turn.
     WarmingUp(Duration),
 }
 
-impl Pause {
+impl BackOff {
     /// Returns how long it lasts.
-    pub fn left(self) -> Duration {
+    pub fn remaining(self) -> Duration {
         match self {
-            Self::Resting(left) | Self::WarmingUp(left) => left,
+            Self::RetryAfter(left) | Self::WarmingUp(left) => left,
         }
     }
 }
@@ -32,25 +32,28 @@
     /// Returns the upstreams of a service that may serve a session's request now.
     pub fn candidates(&self, service: &str, session: &str, now: Now) -> Vec<Rc<Upstream>> {
         let allowed = self.allowed_upstreams(service, session, now);
-        let pauses = self.pauses(service, &allowed, now);
-        let takes_requests = |(upstream, pause): (Rc<Upstream>, Option<Pause>)| match pause {
+        let back_offs = self.back_offs(service, &allowed, now);
+        let takes_requests = |(upstream, back_off): (Rc<Upstream>, Option<BackOff>)| match back_off
+        {
             None => Some(upstream),
             Some(_) => None,
         };
         allowed
             .into_iter()
-            .zip(pauses)
+            .zip(back_offs)
             .filter_map(takes_requests)
             .collect()
     }
 
     /// Returns the shortest pause of the upstreams that may serve a session's request; none if
     /// there is no upstream, or one that takes requests now.
-    pub fn shortest_pause(&self, service: &str, session: &str, now: Now) -> Option<Pause> {
+    pub fn shortest_back_off(&self, service: &str, session: &str, now: Now) -> Option<BackOff> {
         let allowed = self.allowed_upstreams(service, session, now);
-        let pauses = self.pauses(service, &allowed, now).into_iter();
+        let back_offs = self.back_offs(service, &allowed, now).into_iter();
         // An upstream that takes requests now has no time left, and that is the least.
-        pauses.min_by_key(|pause| pause.map(Pause::left)).flatten()
+        back_offs
+            .min_by_key(|back_off| back_off.map(BackOff::remaining))
+            .flatten()
     }
 
     /// Tells whether operators have evacuated the halls of all upstreams of a service.
@@ -63,7 +66,12 @@
         of_service.peek().is_some() && of_service.all(|upstream| upstream.is_evacuated())
     }
 
-    fn pauses(&self, service: &str, upstreams: &[Rc<Upstream>], now: Now) -> Vec<Option<Pause>> {
+    fn back_offs(
+        &self,
+        service: &str,
+        upstreams: &[Rc<Upstream>],
+        now: Now,
+    ) -> Vec<Option<BackOff>> {
         let warm_up = self.knowledge.borrow().warm_up(service);
         let is_warming_up = |upstream: &Rc<Upstream>| upstream.is_warming_up(now);
         let warm_up = warm_up.filter(|_| upstreams.iter().any(is_warming_up));
@@ -71,17 +79,17 @@
             Some(_) => self.box_addresses(),
             None => Vec::new(),
         };
-        let fleet = Fleet {
-            own: self.settings().peers,
-            boxes: &boxes,
-            up_for: self.up_for(now),
+        let fleet = FleetView {
+            own_address: self.settings().peers,
+            box_addresses: &boxes,
+            uptime: self.up_for(now),
         };
-        let pause = |upstream: &Rc<Upstream>| {
-            let rest = upstream.asked_rest_left(now).map(Pause::Resting);
-            let turn = warm_up.and_then(|warm_up| upstream.turn_left(warm_up, fleet, now));
-            rest.or(turn.map(Pause::WarmingUp))
+        let back_off = |upstream: &Rc<Upstream>| {
+            let retry_after = upstream.retry_after_left(now).map(BackOff::RetryAfter);
+            let delay = warm_up.and_then(|warm_up| upstream.warm_up_delay(warm_up, fleet, now));
+            retry_after.or(delay.map(BackOff::WarmingUp))
         };
-        upstreams.iter().map(pause).collect()
+        upstreams.iter().map(back_off).collect()
     }
 
     fn box_addresses(&self) -> Vec<SocketAddr> {
--- a/src/gateway/place/choose.rs
+++ b/src/gateway/place/choose.rs
@@ -4,8 +4,8 @@
 //! it anew; plain requests stay in their hall. Both give way when an upstream is full, fails
 //! or rests. See `docs/design/platform.md`.
 
-use super::engine_cost::{Beginning, PlaceCost, SharedPrompt, engine_costs};
-use super::keepers::rank;
+use super::cache_affinity::rendezvous_weight;
+use super::engine_cost::{PlacementCost, PrefixSource, SharedPrompt, engine_costs};
 use crate::clock::Now;
 use crate::gateway::attempt::upstream::Upstream;
 use crate::gateway::control::store::UpstreamLife;
@@ -26,7 +26,7 @@
 
 /// What placement asks of a request.
 #[derive(Debug, Clone, Copy)]
-pub struct Wish<'a> {
+pub struct PlacementParams<'a> {
     /// The box's hall.
     pub hall: &'a str,
     /// The prompt, where a model engine is asked.
@@ -34,48 +34,52 @@
     /// The lives of upstreams that were tried already.
     pub tried: &'a [UpstreamLife],
     /// A number of the request, which spreads equal choices.
-    pub draw: u64,
+    pub seed: u64,
     /// How many engines are compared beside those that keep the prompt's beginning.
-    pub compared: usize,
+    pub engines_to_compare: usize,
 }
 
 /// The upstream that a request goes to, and what it finds there.
 #[derive(Debug, Clone)]
-pub struct Choice {
+pub struct PlacementChoice {
     /// The upstream.
     pub upstream: Rc<Upstream>,
     /// How long the upstream reads what other requests have sent.
-    pub ahead: Duration,
+    pub queue_wait: Duration,
     /// How long it then reads this request's prompt.
-    pub reading: Duration,
+    pub prefill: Duration,
     /// How it comes by the shared beginning of the prompt; read, for plain upstreams.
-    pub beginning: Beginning,
+    pub prefix_source: PrefixSource,
 }
 
-impl Choice {
+impl PlacementChoice {
     /// Tells whether the time to the first event shows how fast the engine reads: it reads
     /// the prompt whole, and nothing else as far as is known.
-    pub fn tells_rate(&self) -> bool {
-        self.beginning == Beginning::Read && self.ahead.is_zero()
+    pub fn measures_prefill_rate(&self) -> bool {
+        self.prefix_source == PrefixSource::Computed && self.queue_wait.is_zero()
     }
 }
 
 /// Returns how many engines a box compares, by the number of boxes.
-pub fn compared(boxes: usize) -> usize {
+pub fn engines_to_compare(boxes: usize) -> usize {
     (COMPARED_BY_ALL / boxes.max(1)).max(LEAST_COMPARED)
 }
 
 /// Chooses an upstream among those that may run a request.
-pub fn choose(candidates: &[Rc<Upstream>], wish: Wish<'_>, now: Now) -> Option<Choice> {
+pub fn choose_placement(
+    candidates: &[Rc<Upstream>],
+    params: PlacementParams<'_>,
+    now: Now,
+) -> Option<PlacementChoice> {
     let untried: Vec<&Rc<Upstream>> = candidates
         .iter()
-        .filter(|upstream| !wish.tried.contains(upstream.life()))
+        .filter(|upstream| !params.tried.contains(upstream.life()))
         .collect();
-    let costs = match wish.prompt {
-        Some(prompt) => engine_costs(&untried, wish, prompt, now),
-        None => plain_costs(&untried, wish.hall, now),
+    let costs = match params.prompt {
+        Some(prompt) => engine_costs(&untried, params, prompt, now),
+        None => plain_costs(&untried, params.hall, now),
     };
-    let tie = |upstream: &Upstream| std::cmp::Reverse(rank(upstream, wish.draw));
+    let tie = |upstream: &Upstream| std::cmp::Reverse(rendezvous_weight(upstream, params.seed));
     let (upstream, found) =
         untried
             .into_iter()
@@ -84,11 +88,11 @@
                 let by_cost = cost.cost.total_cmp(&other_cost.cost);
                 by_cost.then_with(|| tie(one).cmp(&tie(other)))
             })?;
-    Some(Choice {
+    Some(PlacementChoice {
         upstream: upstream.clone(),
-        ahead: found.ahead,
-        reading: found.reading,
-        beginning: found.beginning,
+        queue_wait: found.queue_wait,
+        prefill: found.prefill,
+        prefix_source: found.prefix_source,
     })
 }
 
@@ -104,27 +108,27 @@
         .iter()
         .filter(|upstream| !tried.contains(upstream.life()));
     let fewest = untried.min_by_key(|upstream| {
-        let tie = std::cmp::Reverse(rank(upstream, seed));
-        (upstream.rests(now), upstream.occupancy(now), tie)
+        let tie = std::cmp::Reverse(rendezvous_weight(upstream, seed));
+        (upstream.is_backing_off(now), upstream.occupancy(now), tie)
     })?;
     Some(fewest.clone())
 }
 
 /// Returns what each upstream of a plain service would cost, in parts of its slots.
-fn plain_costs(candidates: &[&Rc<Upstream>], hall: &str, now: Now) -> Vec<PlaceCost> {
+fn plain_costs(candidates: &[&Rc<Upstream>], hall: &str, now: Now) -> Vec<PlacementCost> {
     let cost = |upstream: &&Rc<Upstream>| {
         let is_away = upstream.with_listed(|listed| listed.hall != hall);
-        PlaceCost {
+        PlacementCost {
             cost: upstream.penalty(now) + if is_away { OTHER_HALL } else { 0.0 },
-            ahead: Duration::ZERO,
-            reading: Duration::ZERO,
-            beginning: Beginning::Read,
+            queue_wait: Duration::ZERO,
+            prefill: Duration::ZERO,
+            prefix_source: PrefixSource::Computed,
         }
     };
     candidates.iter().map(cost).collect()
 }
 
 /// Returns a number that a text always gives, to spread requests evenly.
-pub fn draw(text: &str) -> u64 {
+pub fn stable_hash(text: &str) -> u64 {
     xxh3_64(text.as_bytes())
 }
--- a/src/gateway/place/models.rs
+++ b/src/gateway/place/escalation.rs
@@ -11,69 +11,70 @@
 ///
 /// Operators rank first what matters most to callers for what it costs; there the larger model is
 /// worth its price at less doubt.
-const ENOUGH_CONFIDENCE_OF_FIRST: f64 = 60.0;
-const ENOUGH_CONFIDENCE_OF_LAST: f64 = 46.0;
+const MIN_CONFIDENCE_FIRST_RANK_PERCENT: f64 = 60.0;
+const MIN_CONFIDENCE_LAST_RANK_PERCENT: f64 = 46.0;
 /// The least confidence with which the next larger model is asked and not the largest.
 /// Confidence falls evenly with how far a request is beyond a model, and the next model
 /// reaches as far as some sixteen of a hundred further, for half the largest one's price
 /// and a quarter of its time.
-const NEXT_MODEL_CONFIDENCE: u32 = 36;
+const NEXT_MODEL_MIN_CONFIDENCE_PERCENT: u32 = 36;
 /// The same where the largest model would be late.
-const NEXT_MODEL_AT_LEAST: u32 = 20;
+const NEXT_MODEL_FALLBACK_MIN_CONFIDENCE_PERCENT: u32 = 20;
 /// The part of the objective, in hundredths, within which the larger model's first event
 /// has to be expected; a late answer earns less than a poor one that cost nothing. What the
 /// other boxes send meanwhile is not in the expected time.
-const IN_TIME_HUNDREDTHS: u32 = 80;
+const IN_TIME_PERCENT: u32 = 80;
 /// The part of what is left of the objective, in hundredths, that the largest model's
 /// prompts waiting ahead may take. It is ten times dearer in time than the smallest; when
 /// its prompts fill the engines, every request of every model waits.
-const AHEAD_HUNDREDTHS: u32 = 20;
+const QUEUE_WAIT_PERCENT: u32 = 20;
 
 /// What to do with an answer that has just begun.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum EscalationDecision {
     /// The answer is passed on: the model is sure of it, or there is no larger one.
-    PassOn,
+    Accept,
     /// The answer is passed on though the model is unsure: no larger one would be in time.
-    PassOnUnsure,
+    AcceptUnsure,
     /// The answer is dropped, and the model at this place of the route's list asked.
-    AskLarger(usize),
+    Escalate(usize),
 }
 
 /// How long until a model's first event is expected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Expected {
+pub struct ExpectedFirstEvent {
     /// In all.
     pub total: Duration,
     /// For what waits ahead of this request's own prompt.
-    pub ahead: Duration,
+    pub queue_wait: Duration,
 }
 
-impl Expected {
-    fn is_in_time(self, left: Duration) -> bool {
-        let is_total_in_time = self.total < left * IN_TIME_HUNDREDTHS / 100;
-        is_total_in_time && self.ahead < left * AHEAD_HUNDREDTHS / 100
+impl ExpectedFirstEvent {
+    fn is_in_time(self, time_left: Duration) -> bool {
+        let is_total_in_time = self.total < time_left * IN_TIME_PERCENT / 100;
+        is_total_in_time && self.queue_wait < time_left * QUEUE_WAIT_PERCENT / 100
     }
 }
 
 /// An answer that has just begun.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct BegunAnswer {
+pub struct StartedAnswer {
     /// The place of its model in the route's list.
-    pub place: usize,
+    pub model_index: usize,
     /// How sure the model is of it, from 0 to 100, where it says so.
     pub confidence: Option<u32>,
     /// How far down the route's rank is; see
     /// [`RouteTable::rank_part`](crate::gateway::admit::routes::RouteTable::rank_part).
-    pub rank_part: f64,
+    pub rank_fraction: f64,
 }
 
-impl BegunAnswer {
+impl StartedAnswer {
     /// Returns the model's confidence if it does not do for the route.
-    fn doubt(self) -> Option<u32> {
-        let span = ENOUGH_CONFIDENCE_OF_FIRST - ENOUGH_CONFIDENCE_OF_LAST;
-        let enough = ENOUGH_CONFIDENCE_OF_FIRST - span * self.rank_part;
-        self.confidence.filter(|sure| f64::from(*sure) < enough)
+    fn insufficient_confidence(self) -> Option<u32> {
+        let span = MIN_CONFIDENCE_FIRST_RANK_PERCENT - MIN_CONFIDENCE_LAST_RANK_PERCENT;
+        let required = MIN_CONFIDENCE_FIRST_RANK_PERCENT - span * self.rank_fraction;
+        self.confidence
+            .filter(|confidence| f64::from(*confidence) < required)
     }
 }
 
@@ -81,29 +82,33 @@
 ///
 /// `expected` tells for each model how long its first event would take, and `left` what
 /// is left of the objective. A larger model is asked only if it would be in time.
-pub fn judge(answer: BegunAnswer, expected: &[Expected], left: Duration) -> Verdict {
-    let place = answer.place;
+pub fn judge_answer(
+    answer: StartedAnswer,
+    expected: &[ExpectedFirstEvent],
+    time_left: Duration,
+) -> EscalationDecision {
+    let index = answer.model_index;
     let largest = expected.len().saturating_sub(1);
-    let Some(confidence) = answer.doubt() else {
-        return Verdict::PassOn;
+    let Some(confidence) = answer.insufficient_confidence() else {
+        return EscalationDecision::Accept;
     };
-    if place >= largest {
-        return Verdict::PassOn;
+    if index >= largest {
+        return EscalationDecision::Accept;
     }
-    let is_in_time = |place: usize| {
+    let is_in_time = |index: usize| {
         expected
-            .get(place)
-            .is_some_and(|expected| expected.is_in_time(left))
+            .get(index)
+            .is_some_and(|expected| expected.is_in_time(time_left))
     };
-    let next = place + 1;
-    if confidence >= NEXT_MODEL_CONFIDENCE && is_in_time(next) {
-        return Verdict::AskLarger(next);
+    let next = index + 1;
+    if confidence >= NEXT_MODEL_MIN_CONFIDENCE_PERCENT && is_in_time(next) {
+        return EscalationDecision::Escalate(next);
     }
     if is_in_time(largest) {
-        return Verdict::AskLarger(largest);
+        return EscalationDecision::Escalate(largest);
     }
-    match confidence >= NEXT_MODEL_AT_LEAST && is_in_time(next) {
-        true => Verdict::AskLarger(next),
-        false => Verdict::PassOnUnsure,
+    match confidence >= NEXT_MODEL_FALLBACK_MIN_CONFIDENCE_PERCENT && is_in_time(next) {
+        true => EscalationDecision::Escalate(next),
+        false => EscalationDecision::AcceptUnsure,
     }
 }
--- a/src/gateway/place/reading.rs
+++ b/src/gateway/place/prefill_rate.rs
@@ -8,25 +8,25 @@
 use std::time::Duration;
 
 /// Tokens that an engine reads in a millisecond for the dearest model, until it has shown.
-const USUAL_RATE: f64 = 18.0;
+const DEFAULT_RATE_TOKENS_PER_MS: f64 = 18.0;
 /// The bounds of what is believed of a rate, in tokens a millisecond.
-const RATE_BOUNDS: (f64, f64) = (2.0, 400.0);
+const RATE_BOUNDS_TOKENS_PER_MS: (f64, f64) = (2.0, 400.0);
 /// How far the first measurement moves a rate, as a part of it; the next ones move it less.
-const FIRST_STEP: f64 = 0.25;
+const INITIAL_STEP_FRACTION: f64 = 0.25;
 /// The least that a measurement moves a rate, so that it follows engines that change.
-const LEAST_STEP: f64 = 0.03;
+const MIN_STEP_FRACTION: f64 = 0.03;
 /// The fewest tokens that tell something of a rate; the first events of shorter prompts are
 /// dominated by the way there and by the engine's steps.
-const FEWEST_TOKENS: f64 = 1500.0;
+const MIN_MEASURED_TOKENS: f64 = 1500.0;
 /// The time to the first event that does not depend on the tokens: the way there and a
 /// step or two of the engine.
-pub const FIXED: Duration = Duration::from_millis(25);
+pub const FIRST_EVENT_OVERHEAD: Duration = Duration::from_millis(25);
 
 /// The rates of a box's models.
 ///
 /// Prices alone say little of them: a model at a fifteenth of the price may read six times as fast.
 #[derive(Debug, Default)]
-pub struct ReadingRates {
+pub struct PrefillRates {
     by_model: RefCell<HashMap<String, Rate>>,
 }
 
@@ -41,10 +41,10 @@
     /// Returns what is believed before anything was measured: that time goes by price.
     ///
     /// `price_part` is the model's price as a part of the dearest one's.
-    fn by_price(price_part: f64) -> Self {
-        let rate = USUAL_RATE / price_part.max(f64::MIN_POSITIVE);
+    fn from_price(price_part: f64) -> Self {
+        let rate = DEFAULT_RATE_TOKENS_PER_MS / price_part.max(f64::MIN_POSITIVE);
         Self {
-            tokens_per_ms: rate.clamp(RATE_BOUNDS.0, RATE_BOUNDS.1),
+            tokens_per_ms: rate.clamp(RATE_BOUNDS_TOKENS_PER_MS.0, RATE_BOUNDS_TOKENS_PER_MS.1),
             measurements: 0,
         }
     }
@@ -52,20 +52,22 @@
     /// Moves a step towards a measurement, however far away that is, so that the rate
     /// settles at the median: a prompt that had to wait, or that the engine had kept after
     /// all, says nothing of the rate, and may be wrong by any factor.
-    fn learn(&mut self, measured: f64) {
-        let step = (FIRST_STEP * 2.0 / f64::from(self.measurements + 2)).max(LEAST_STEP);
+    fn record(&mut self, measured: f64) {
+        let step =
+            (INITIAL_STEP_FRACTION * 2.0 / f64::from(self.measurements + 2)).max(MIN_STEP_FRACTION);
         let factor = match measured > self.tokens_per_ms {
             true => 1.0 + step,
             false => 1.0 / (1.0 + step),
         };
-        self.tokens_per_ms = (self.tokens_per_ms * factor).clamp(RATE_BOUNDS.0, RATE_BOUNDS.1);
+        self.tokens_per_ms = (self.tokens_per_ms * factor)
+            .clamp(RATE_BOUNDS_TOKENS_PER_MS.0, RATE_BOUNDS_TOKENS_PER_MS.1);
         self.measurements = self.measurements.saturating_add(1);
     }
 }
 
 /// A model, as far as the time of its reads goes.
 #[derive(Debug, Clone, Copy)]
-pub struct ModelPace<'a> {
+pub struct PrefillModel<'a> {
     /// The model's name.
     pub name: &'a str,
     /// Its price as a part of the dearest model's, which stands in for what is not yet
@@ -73,25 +75,25 @@
     pub price_part: f64,
 }
 
-impl ReadingRates {
+impl PrefillRates {
     /// Learns from a first event for which an engine read so many tokens and nothing else.
-    pub fn learn(&self, model: ModelPace<'_>, tokens: f64, took: Duration) {
-        if tokens < FEWEST_TOKENS {
+    pub fn record(&self, model: PrefillModel<'_>, tokens: f64, took: Duration) {
+        if tokens < MIN_MEASURED_TOKENS {
             return;
         }
-        let millis = took.saturating_sub(FIXED).as_secs_f64() * 1000.0;
+        let millis = took.saturating_sub(FIRST_EVENT_OVERHEAD).as_secs_f64() * 1000.0;
         let mut rates = self.by_model.borrow_mut();
         let rate = rates
             .entry(model.name.to_owned())
-            .or_insert_with(|| Rate::by_price(model.price_part));
-        rate.learn(tokens / millis.max(1.0));
+            .or_insert_with(|| Rate::from_price(model.price_part));
+        rate.record(tokens / millis.max(1.0));
     }
 
     /// Returns how long an engine reads so many tokens for a model.
-    pub fn time(&self, model: ModelPace<'_>, tokens: f64) -> Duration {
+    pub fn prefill_time(&self, model: PrefillModel<'_>, tokens: f64) -> Duration {
         let rates = self.by_model.borrow();
         let known = rates.get(model.name).copied();
-        let rate = known.unwrap_or_else(|| Rate::by_price(model.price_part));
+        let rate = known.unwrap_or_else(|| Rate::from_price(model.price_part));
         Duration::from_secs_f64(tokens.max(0.0) / rate.tokens_per_ms / 1000.0)
     }
 }
--- a/src/gateway/telemetry.rs
+++ b/src/gateway/telemetry.rs
@@ -4,12 +4,12 @@
 
 use super::admit::job::{Job, TryPlan};
 use super::answer::refusal::{Ran, Why};
-use super::attempt::crash::BrokenRun;
-use super::attempt::exchange::Tried;
+use super::attempt::crash_detection::InterruptedRun;
+use super::attempt::exchange::TryOutcome;
 use super::attempt::upstream::Upstream;
 use super::control::knowledge::Change;
 use super::peers::asking::FetchError;
-use super::place::choose::Choice;
+use super::place::choose::PlacementChoice;
 use crate::clock::{Now, millis};
 use crate::crash_ledger::{AfterBreak, Part};
 use crate::fingerprint::Fingerprint;
@@ -111,11 +111,17 @@
     }
 
     /// Records a try.
-    pub fn tried(&self, job: &Job, choice: &Choice, tried: &Tried, plan: TryPlan<'_>) {
+    pub fn tried(
+        &self,
+        job: &Job,
+        choice: &PlacementChoice,
+        tried: &TryOutcome,
+        plan: TryPlan<'_>,
+    ) {
         let outcome = match tried {
-            Tried::Answered(_) => "answered",
-            Tried::NotRun(_) => "not-run",
-            Tried::Unknown(_) => "unknown",
+            TryOutcome::Answered(_) => "answered",
+            TryOutcome::NotRun(_) => "not-run",
+            TryOutcome::Unknown(_) => "unknown",
         };
         self.tries.add(1, &[KeyValue::new("outcome", outcome)]);
         let upstream = &choice.upstream;
@@ -131,12 +137,12 @@
             session = job.session.as_str(),
             shared = job.prompt.shared.as_deref().unwrap_or(""),
             after_event = plan.resume_after.unwrap_or(""),
-            attempt = job.tries.sent(),
-            ahead_ms = millis(choice.ahead),
-            reading_ms = millis(choice.reading),
-            beginning = choice.beginning.name(),
+            attempt = job.tries.sent_count(),
+            ahead_ms = millis(choice.queue_wait),
+            reading_ms = millis(choice.prefill),
+            beginning = choice.prefix_source.name(),
             outstanding = upstream.outstanding(),
-            rest_ms = upstream.asked_rest_left(Now::read()).map_or(0, millis),
+            rest_ms = upstream.retry_after_left(Now::read()).map_or(0, millis),
             warm_up_ms = millis(upstream.warm_up_left(Now::read()));
             "try: {}", tried.describe()
         );
@@ -166,7 +172,7 @@
     }
 
     /// Records a request that ran at an upstream when it crashed.
-    pub fn ran_at_crash(&self, upstream: &Upstream, run: BrokenRun) {
+    pub fn ran_at_crash(&self, upstream: &Upstream, run: InterruptedRun) {
         let instance = upstream.with_listed(|listed| listed.instance.clone());
         log::warn!(
             upstream = instance.as_str(),
@@ -223,7 +229,7 @@
             request = job.request_id.as_str(),
             status,
             took_ms = millis(took),
-            tries = job.tries.sent();
+            tries = job.tries.sent_count();
             "passed on"
         );
     }
@@ -258,7 +264,7 @@
         log::warn!(
             request = job.request_id.as_str(),
             events,
-            tries = job.tries.sent();
+            tries = job.tries.sent_count();
             "stream cut: {reason}"
         );
     }
--- a/src/gateway/versions/counts.rs
+++ b/src/gateway/versions/counts.rs
@@ -8,12 +8,12 @@
 use crate::clock::Now;
 use crate::gateway::Gateway;
 use crate::gateway::admit::job::Job;
-use crate::gateway::attempt::exchange::{Answer, Tried};
+use crate::gateway::attempt::exchange::{Answer, TryOutcome};
 use crate::gateway::attempt::upstream::Upstream;
 use crate::gateway::control::leading::{is_in_line, target_name};
 use crate::gateway::control::rollout::Rollout;
-use crate::gateway::place::choose::Choice;
-use crate::gateway::place::reading;
+use crate::gateway::place::choose::PlacementChoice;
+use crate::gateway::place::prefill_rate;
 use std::time::Duration;
 
 /// How long a box that starts sends a version under trial nothing: three times the time between
@@ -26,10 +26,11 @@
     ///
     /// Of a plain request only the first try is timed: one that fails at an upstream often
     /// fails at the next as well, whatever their versions.
-    pub fn time_try(&self, job: &Job, choice: &Choice, now: Now) -> Option<Timed> {
+    pub fn time_try(&self, job: &Job, choice: &PlacementChoice, now: Now) -> Option<Timed> {
         let (measure, unit) = match job.route.kind.stream_gap() {
             Some(_) => {
-                let expected = reading::FIXED + choice.ahead + choice.reading;
+                let expected =
+                    prefill_rate::FIRST_EVENT_OVERHEAD + choice.queue_wait + choice.prefill;
                 (Measure::Head, expected.as_secs_f64())
             }
             None => (Measure::Whole, 1.0),
@@ -42,12 +43,12 @@
             measure,
         };
         let timed = versions.tally().begin(trial, kind, unit, now);
-        (measure == Measure::Head || job.tries.runs() == 0).then_some(timed)
+        (measure == Measure::Head || job.tries.possible_runs() == 0).then_some(timed)
     }
 
     /// Records how a try with an engine began: its head came, or a failure of its own.
-    pub fn head_came(&self, tried: &Tried, timed: Option<Timed>, now: Now) {
-        let (Some(timed), Tried::Answered(answer)) = (timed, tried) else {
+    pub fn head_came(&self, tried: &TryOutcome, timed: Option<Timed>, now: Now) {
+        let (Some(timed), TryOutcome::Answered(answer)) = (timed, tried) else {
             return;
         };
         if !(200..300).contains(&answer.status) {
@@ -83,10 +84,10 @@
     /// Records when the first event of an answer came.
     pub fn first_event(&self, job: &Job, answer: &Answer, model: &str, now: Now) {
         let upstream = answer.upstream();
-        let took = now.monotonic.saturating_sub(answer.sent);
+        let took = now.monotonic.saturating_sub(answer.sent_at);
         self.telemetry
-            .first_event(job, model, took, upstream.unread(now));
-        if answer.tells_rate {
+            .first_event(job, model, took, upstream.pending_prefill(now));
+        if answer.measures_prefill_rate {
             self.learn_rate(&job.service, model, job.prompt.reading_tokens(), took);
         }
         upstream.with_listed(|listed| {
--- a/src/gateway/versions/rollout.rs
+++ b/src/gateway/versions/rollout.rs
@@ -10,7 +10,7 @@
 use crate::clock::{Now, millis};
 use crate::gateway::control::rollout::{Rollout, TIME_WRITTEN_EACH};
 use crate::gateway::control::store::{ALL_SESSIONS, RolloutOrder, RolloutRecord, RolloutState};
-use crate::gateway::place::choose::draw;
+use crate::gateway::place::choose::stable_hash;
 use std::time::Duration;
 
 /// How long the time of a roll-out is overdue in its record before the box that is next in line
@@ -107,7 +107,7 @@
         RolloutState::Running => {
             let elapsed = rollout.elapsed(now).unwrap_or_default();
             let is_first_half = elapsed < order.duration / 2;
-            let by_stage = draw(query.session) % THOUSAND < u64::from(record.permille);
+            let by_stage = stable_hash(query.session) % THOUSAND < u64::from(record.permille);
             let target = match query.pinned {
                 Some(pinned) if pinned == order.target => true,
                 Some(_) if is_first_half => false,
--- a/src/gateway/versions/sessions.rs
+++ b/src/gateway/versions/sessions.rs
@@ -6,7 +6,7 @@
 use super::rollout::may_be_moved_first;
 use crate::clock::Now;
 use crate::gateway::control::store::RolloutOrder;
-use crate::gateway::place::choose::draw;
+use crate::gateway::place::choose::stable_hash;
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
@@ -37,7 +37,7 @@
         if self.versions.len() >= MOST_SESSIONS {
             self.forget(now);
         }
-        let session = draw(session);
+        let session = stable_hash(session);
         if self.versions.len() < MOST_SESSIONS || self.versions.contains_key(&session) {
             let entry = (version.to_owned(), now.monotonic);
             self.versions.insert(session, entry);
@@ -46,7 +46,7 @@
 
     /// Returns the version that served a session, if the session is not over.
     pub fn version(&self, session: &str, now: Now) -> Option<&str> {
-        let (version, at) = self.versions.get(&draw(session))?;
+        let (version, at) = self.versions.get(&stable_hash(session))?;
         let is_live = now.monotonic.saturating_sub(*at) < self.lifetime;
         is_live.then_some(version.as_str())
     }
@@ -55,7 +55,7 @@
     pub fn stays_old(&self, session: &str, order_revision: u64) -> bool {
         self.old
             .get(&order_revision)
-            .is_some_and(|old| old.contains(&draw(session)))
+            .is_some_and(|old| old.contains(&stable_hash(session)))
     }
 
     /// Takes the sessions that another box knows to be served by the old version.
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -2,16 +2,16 @@
 
 mod boundary;
 mod datagrams;
+mod escalation;
 mod freshness;
-mod models;
 mod packing;
 mod passing_on;
 mod placement;
 mod quarantine;
 mod rebirths;
 mod refusals;
-mod rests;
 mod retries;
+mod retry_after;
 mod rollouts;
 mod routes;
 mod spreading;
--- a/tests/gateway/passing_on.rs
+++ b/tests/gateway/passing_on.rs
@@ -8,7 +8,9 @@
 use gatepier::gateway::peers::hubs::choose_hubs;
 use gatepier::gateway::peers::messages::in_turn;
 use gatepier::gateway::peers::packing::PackedItem;
-use gatepier::gateway::place::loads::{BoxLoad, Loads, LongRead, LongReads, interval};
+use gatepier::gateway::place::peer_loads::{
+    BoxLoad, LongPrefill, LongPrefillOutbox, PeerLoads, report_interval,
+};
 use googletest::prelude::*;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -107,8 +109,8 @@
     }
 
     reports_get_rarer_with_more_boxes => {
-        expect_that!(interval(3), le(Duration::from_millis(150)));
-        expect_that!(interval(300), ge(Duration::from_secs(4)));
+        expect_that!(report_interval(3), le(Duration::from_millis(150)));
+        expect_that!(report_interval(300), ge(Duration::from_secs(4)));
     }
 
     load_of_other_boxes_is_seen_and_forgotten => {
@@ -116,18 +118,18 @@
         let update = Update::Upstream(Box::new(listed("i-1", "engine", "ikeja")));
         knowledge.apply(update, at(0));
         let upstream = knowledge.open_upstreams("engine", at(0)).remove(0);
-        let unread = upstream.begin_reading(Duration::from_millis(500));
-        let counted = upstream.enter();
-        let report = BoxLoad::of("other", &knowledge);
+        let unread = upstream.begin_prefill(Duration::from_millis(500));
+        let counted = upstream.begin_request();
+        let report = BoxLoad::collect("other", &knowledge);
         drop((unread, counted));
-        expect_that!(upstream.unread(at(0)), eq(Duration::ZERO));
-        let mut loads = Loads::default();
-        loads.take(report, at(0));
-        loads.spread(&knowledge, at(10));
-        expect_that!(upstream.unread(at(10)), eq(Duration::from_millis(500)));
+        expect_that!(upstream.pending_prefill(at(0)), eq(Duration::ZERO));
+        let mut loads = PeerLoads::default();
+        loads.set_report(report, at(0));
+        loads.apply_to_upstreams(&knowledge, at(10));
+        expect_that!(upstream.pending_prefill(at(10)), eq(Duration::from_millis(500)));
         expect_that!(upstream.occupancy(at(10)), eq(1));
-        loads.spread(&knowledge, at(5000));
-        expect_that!(upstream.unread(at(5000)), eq(Duration::ZERO));
+        loads.apply_to_upstreams(&knowledge, at(5000));
+        expect_that!(upstream.pending_prefill(at(5000)), eq(Duration::ZERO));
     }
 
     long_reads_are_told_to_a_bounded_number_of_boxes_in_turn => {
@@ -149,28 +151,28 @@
         let update = Update::Upstream(Box::new(listed("i-1", "engine", "ikeja")));
         knowledge.apply(update, at(0));
         let upstream = knowledge.open_upstreams("engine", at(0)).remove(0);
-        let told = LongReads::default();
-        told.note("other", &upstream, Duration::from_millis(6));
-        told.note("other", &upstream, Duration::from_millis(500));
+        let told = LongPrefillOutbox::default();
+        told.push_if_long("other", &upstream, Duration::from_millis(6));
+        told.push_if_long("other", &upstream, Duration::from_millis(500));
         let told = futures::executor::block_on(told.next());
         expect_that!(told.len(), eq(1));
-        let mut loads = Loads::default();
-        loads.take_long_read(told[0], &knowledge, at(0));
-        expect_that!(upstream.unread(at(0)), eq(Duration::from_millis(500)));
-        expect_that!(upstream.unread(at(250)), eq(Duration::from_millis(250)));
-        expect_that!(upstream.unread(at(600)), eq(Duration::ZERO));
+        let mut loads = PeerLoads::default();
+        loads.add_long_prefill(told[0], &knowledge, at(0));
+        expect_that!(upstream.pending_prefill(at(0)), eq(Duration::from_millis(500)));
+        expect_that!(upstream.pending_prefill(at(250)), eq(Duration::from_millis(250)));
+        expect_that!(upstream.pending_prefill(at(600)), eq(Duration::ZERO));
     }
 
     long_reads_that_nobody_is_told_of_do_not_pile_up => {
         // A box that cannot bind its socket to others serves on alone, and kept every long read of
         // its life to be told one day. What is old by then says nothing any more.
         let upstream = Upstream::new(listed("i-1", "engine", "ikeja"));
-        let untold = LongReads::default();
+        let untold = LongPrefillOutbox::default();
         for number in 0..100_000 {
-            untold.note("this", &upstream, Duration::from_millis(200 + number));
+            untold.push_if_long("this", &upstream, Duration::from_millis(200 + number));
         }
         let told = futures::executor::block_on(untold.next());
         expect_that!(told.len(), le(1000));
-        expect_that!(told.last().map(LongRead::reading), some(eq(Duration::from_millis(100_199))));
+        expect_that!(told.last().map(LongPrefill::prefill), some(eq(Duration::from_millis(100_199))));
     }
 }
--- a/tests/gateway/placement.rs
+++ b/tests/gateway/placement.rs
@@ -1,12 +1,14 @@
 //! Which upstream gets a request.
 
 use super::{at, cases, listed};
-use gatepier::gateway::attempt::protocol::{parse_load, parse_prompt_parts, urgency};
+use gatepier::gateway::attempt::headers::{parse_load, parse_prompt_parts, urgency};
 use gatepier::gateway::attempt::upstream::Upstream;
-use gatepier::gateway::place::choose::{Choice, Wish, choose, compared};
-use gatepier::gateway::place::engine_cost::{Beginning, SharedPrompt};
-use gatepier::gateway::place::keepers::Spread;
-use gatepier::gateway::place::reading::{ModelPace, ReadingRates};
+use gatepier::gateway::place::cache_affinity::CacheReplication;
+use gatepier::gateway::place::choose::{
+    PlacementChoice, PlacementParams, choose_placement, engines_to_compare,
+};
+use gatepier::gateway::place::engine_cost::{PrefixSource, SharedPrompt};
+use gatepier::gateway::place::prefill_rate::{PrefillModel, PrefillRates};
 use googletest::prelude::*;
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,48 +21,48 @@
     (0..count).map(make).collect()
 }
 
-fn wish<'a>(prompt: Option<SharedPrompt<'a>>, draw: u64) -> Wish<'a> {
-    Wish {
+fn wish<'a>(prompt: Option<SharedPrompt<'a>>, draw: u64) -> PlacementParams<'a> {
+    PlacementParams {
         hall: "ikeja",
         prompt,
         tried: &[],
-        draw,
-        compared: 100,
+        seed: draw,
+        engines_to_compare: 100,
     }
 }
 
 /// A prompt for the dearest model, five sixths of which others share.
 fn prompt(shared: &str) -> SharedPrompt<'_> {
     SharedPrompt {
-        shared,
-        spread: Spread::OneEngine,
-        whole: Duration::from_millis(330),
-        rest: Duration::from_millis(55),
+        prefix_key: shared,
+        replication: CacheReplication::OneEngine,
+        full_prefill: Duration::from_millis(330),
+        suffix_prefill: Duration::from_millis(55),
         shared_tokens: 5000.0,
-        bytes: 0,
+        request_bytes: 0,
     }
 }
 
 /// The same for a model that reads fourteen times as fast.
 fn fast_prompt(shared: &str) -> SharedPrompt<'_> {
     SharedPrompt {
-        spread: Spread::OneEngineAHall,
-        whole: Duration::from_millis(24),
-        rest: Duration::from_millis(4),
-        bytes: 6000,
+        replication: CacheReplication::OneEnginePerHall,
+        full_prefill: Duration::from_millis(24),
+        suffix_prefill: Duration::from_millis(4),
+        request_bytes: 6000,
         ..prompt(shared)
     }
 }
 
-fn choice(candidates: &[Rc<Upstream>], wish: Wish<'_>) -> Choice {
-    choose(candidates, wish, at(0)).unwrap()
+fn choice(candidates: &[Rc<Upstream>], wish: PlacementParams<'_>) -> PlacementChoice {
+    choose_placement(candidates, wish, at(0)).unwrap()
 }
 
-fn chosen(candidates: &[Rc<Upstream>], wish: Wish<'_>) -> String {
+fn chosen(candidates: &[Rc<Upstream>], wish: PlacementParams<'_>) -> String {
     choice(candidates, wish).upstream.listed().instance
 }
 
-const MIDDLE: ModelPace<'_> = ModelPace {
+const MIDDLE: PrefillModel<'_> = PrefillModel {
     name: "middle",
     price_part: 0.5,
 };
@@ -70,10 +72,10 @@
         // Fails where reading anew counts by the model's time: for the smallest model a
         // queue of 30 ms moved a prompt, and 1.3 million tokens were read again in a day.
         let candidates = upstreams(20);
-        let small = SharedPrompt { spread: Spread::OneEngine, ..fast_prompt("part") };
+        let small = SharedPrompt { replication: CacheReplication::OneEngine, ..fast_prompt("part") };
         let keeper = chosen(&candidates, wish(Some(small), 1));
         let busy = candidates.iter().find(|found| found.listed().instance == keeper).unwrap();
-        let _unread = busy.begin_reading(Duration::from_millis(110));
+        let _unread = busy.begin_prefill(Duration::from_millis(110));
         expect_that!(chosen(&candidates, wish(Some(small), 1)), eq(&keeper));
     }
 
@@ -91,7 +93,7 @@
         let candidates = upstreams(20);
         let first = chosen(&candidates, wish(Some(prompt("part")), 1));
         let busy = candidates.iter().find(|found| found.listed().instance == first).unwrap();
-        let _unread = busy.begin_reading(Duration::from_millis(2800));
+        let _unread = busy.begin_prefill(Duration::from_millis(2800));
         expect_that!(chosen(&candidates, wish(Some(prompt("part")), 1)), not(eq(&first)));
     }
 
@@ -100,33 +102,33 @@
         // keeps it is busy with others. Read anew, they fill two engines in place of one.
         let candidates = upstreams(20);
         let keeper = choice(&candidates, wish(Some(prompt("part")), 1)).upstream;
-        expect_that!(choice(&candidates, wish(Some(prompt("part")), 1)).beginning, eq(Beginning::Kept));
-        let _unread = keeper.begin_reading(Duration::from_millis(2800));
+        expect_that!(choice(&candidates, wish(Some(prompt("part")), 1)).prefix_source, eq(PrefixSource::Cached));
+        let _unread = keeper.begin_prefill(Duration::from_millis(2800));
         let idle = choice(&candidates, wish(Some(prompt("part")), 1));
-        expect_that!(idle.beginning, eq(Beginning::Fetched(keeper.listed().address)));
-        expect_that!(idle.reading, eq(Duration::from_millis(55)));
+        expect_that!(idle.prefix_source, eq(PrefixSource::Fetched(keeper.listed().address)));
+        expect_that!(idle.prefill, eq(Duration::from_millis(55)));
     }
 
     beginning_that_is_read_fast_is_not_fetched => {
         let candidates = upstreams(20);
-        let fast = SharedPrompt { spread: Spread::OneEngine, ..fast_prompt("part") };
+        let fast = SharedPrompt { replication: CacheReplication::OneEngine, ..fast_prompt("part") };
         let keeper = choice(&candidates, wish(Some(fast), 1)).upstream;
-        let _unread = keeper.begin_reading(Duration::from_millis(2800));
+        let _unread = keeper.begin_prefill(Duration::from_millis(2800));
         let other = choice(&candidates, wish(Some(fast), 1));
-        expect_that!(other.beginning, eq(Beginning::Read));
+        expect_that!(other.prefix_source, eq(PrefixSource::Computed));
     }
 
     nothing_is_fetched_from_an_engine_that_rests_or_runs_other_weights => {
         let candidates = upstreams(20);
         let keeper = choice(&candidates, wish(Some(prompt("part")), 1)).upstream;
-        keeper.unconnectable(at(0));
-        expect_that!(choice(&candidates, wish(Some(prompt("part")), 1)).beginning, eq(Beginning::Read));
+        keeper.record_connect_failure(at(0));
+        expect_that!(choice(&candidates, wish(Some(prompt("part")), 1)).prefix_source, eq(PrefixSource::Computed));
         let mut listed = keeper.listed();
         listed.version = "v2".to_owned();
-        keeper.relist(listed);
-        keeper.connectable();
-        let _unread = keeper.begin_reading(Duration::from_millis(2800));
-        expect_that!(choice(&candidates, wish(Some(prompt("part")), 1)).beginning, eq(Beginning::Read));
+        keeper.update_listing(listed);
+        keeper.record_connect_success();
+        let _unread = keeper.begin_prefill(Duration::from_millis(2800));
+        expect_that!(choice(&candidates, wish(Some(prompt("part")), 1)).prefix_source, eq(PrefixSource::Computed));
     }
 
     fast_models_keep_a_beginning_in_each_hall_and_stay_there => {
@@ -135,21 +137,21 @@
         let candidates = upstreams(20);
         for hall in ["ikeja", "yaba"] {
             for draw in 0..20 {
-                let wish = Wish { hall, ..wish(Some(fast_prompt("part")), draw) };
+                let wish = PlacementParams { hall, ..wish(Some(fast_prompt("part")), draw) };
                 let found = choice(&candidates, wish);
                 expect_that!(found.upstream.listed().hall, eq(hall));
-                expect_that!(found.beginning, eq(Beginning::Kept));
+                expect_that!(found.prefix_source, eq(PrefixSource::Cached));
             }
         }
     }
 
     full_hall_sends_prompts_to_the_keeper_of_another => {
         let candidates = upstreams(20);
-        let yaba = Wish { hall: "yaba", ..wish(Some(fast_prompt("part")), 1) };
+        let yaba = PlacementParams { hall: "yaba", ..wish(Some(fast_prompt("part")), 1) };
         let keeper_there = choice(&candidates, yaba).upstream.listed().instance;
         let in_hall = candidates.iter().filter(|found| found.listed().hall == "ikeja");
         let _unread: Vec<_> =
-            in_hall.map(|found| found.begin_reading(Duration::from_millis(900))).collect();
+            in_hall.map(|found| found.begin_prefill(Duration::from_millis(900))).collect();
         let found = choice(&candidates, wish(Some(fast_prompt("part")), 1));
         expect_that!(found.upstream.listed().instance, eq(&keeper_there));
     }
@@ -164,23 +166,23 @@
 
     full_hall_hands_over_to_another => {
         let candidates = upstreams(2);
-        let _guards: Vec<_> = (0..4).map(|_| candidates[0].enter()).collect();
+        let _guards: Vec<_> = (0..4).map(|_| candidates[0].begin_request()).collect();
         expect_that!(chosen(&candidates, wish(None, 1)), eq("i-1"));
     }
 
     unconnectable_upstream_rests_until_it_connects => {
         let candidates = upstreams(2);
-        candidates[0].unconnectable(at(0));
+        candidates[0].record_connect_failure(at(0));
         expect_that!(chosen(&candidates, wish(None, 1)), eq("i-1"));
-        expect_that!(candidates[0].rests(at(60_000)), eq(true));
-        candidates[0].connectable();
-        expect_that!(candidates[0].rests(at(1)), eq(false));
+        expect_that!(candidates[0].is_backing_off(at(60_000)), eq(true));
+        candidates[0].record_connect_success();
+        expect_that!(candidates[0].is_backing_off(at(1)), eq(false));
     }
 
     failing_upstream_is_left_for_another_and_tried_again_later => {
         let candidates = upstreams(2);
         for _ in 0..6 {
-            candidates[0].failed(at(0));
+            candidates[0].record_failure(at(0));
         }
         expect_that!(chosen(&candidates, wish(None, 1)), eq("i-1"));
         expect_that!(candidates[0].failure_rate(at(60_000)), lt(0.01));
@@ -189,16 +191,16 @@
     tried_upstreams_are_not_chosen => {
         let candidates = upstreams(1);
         let tried = [candidates[0].life().clone()];
-        let wish = Wish { tried: &tried, ..wish(None, 1) };
-        expect_that!(choose(&candidates, wish, at(0)).is_none(), eq(true));
+        let wish = PlacementParams { tried: &tried, ..wish(None, 1) };
+        expect_that!(choose_placement(&candidates, wish, at(0)).is_none(), eq(true));
     }
 
     many_boxes_compare_few_engines => {
-        expect_that!(compared(9), eq(10));
-        expect_that!(compared(300), eq(3));
+        expect_that!(engines_to_compare(9), eq(10));
+        expect_that!(engines_to_compare(300), eq(3));
         let candidates = upstreams(90);
         let mut seen: Vec<String> = (0..60)
-            .map(|draw| chosen(&candidates, Wish { compared: 3, ..wish(Some(prompt("")), draw) }))
+            .map(|draw| chosen(&candidates, PlacementParams { engines_to_compare: 3, ..wish(Some(prompt("")), draw) }))
             .collect();
         seen.sort();
         seen.dedup();
@@ -207,44 +209,44 @@
 
     silence_counts_from_the_last_thing_heard => {
         let upstream = &upstreams(1)[0];
-        upstream.heard(at(500));
-        let silent = upstream.silent_since(at(100).monotonic, at(900));
+        upstream.record_data_received(at(500));
+        let silent = upstream.time_without_data(at(100).monotonic, at(900));
         expect_that!(silent.as_millis(), eq(400));
-        let silent = upstream.silent_since(at(800).monotonic, at(900));
+        let silent = upstream.time_without_data(at(800).monotonic, at(900));
         expect_that!(silent.as_millis(), eq(100));
     }
 
     reading_rates_begin_with_the_price_and_are_learned => {
-        let rates = ReadingRates::default();
-        expect_that!(rates.time(MIDDLE, 36_000.0), eq(Duration::from_secs(1)));
+        let rates = PrefillRates::default();
+        expect_that!(rates.prefill_time(MIDDLE, 36_000.0), eq(Duration::from_secs(1)));
         for _ in 0..100 {
-            rates.learn(MIDDLE, 36_000.0, Duration::from_millis(2025));
+            rates.record(MIDDLE, 36_000.0, Duration::from_millis(2025));
         }
-        let learned = rates.time(MIDDLE, 36_000.0).as_secs_f64();
+        let learned = rates.prefill_time(MIDDLE, 36_000.0).as_secs_f64();
         expect_that!(learned, near(2.0, 0.07));
-        let other = ModelPace { name: "small", price_part: 0.5 };
-        expect_that!(rates.time(other, 36_000.0), eq(Duration::from_secs(1)));
+        let other = PrefillModel { name: "small", price_part: 0.5 };
+        expect_that!(rates.prefill_time(other, 36_000.0), eq(Duration::from_secs(1)));
     }
 
     reading_rates_bear_measurements_that_are_far_off => {
         // Three in ten first events came early, since the engine had kept the prompt after
         // all, or late, since it had something else to read.
-        let rates = ReadingRates::default();
+        let rates = PrefillRates::default();
         for round in 0..200 {
             let took = match round % 10 {
                 0 => 30,
                 1 | 2 => 20_000,
                 _ => 2025,
             };
-            rates.learn(MIDDLE, 36_000.0, Duration::from_millis(took));
+            rates.record(MIDDLE, 36_000.0, Duration::from_millis(took));
         }
-        expect_that!(rates.time(MIDDLE, 36_000.0).as_secs_f64(), near(2.0, 0.15));
+        expect_that!(rates.prefill_time(MIDDLE, 36_000.0).as_secs_f64(), near(2.0, 0.15));
     }
 
     short_prompts_teach_no_rate => {
-        let rates = ReadingRates::default();
-        rates.learn(MIDDLE, 1000.0, Duration::from_millis(900));
-        expect_that!(rates.time(MIDDLE, 36_000.0), eq(Duration::from_secs(1)));
+        let rates = PrefillRates::default();
+        rates.record(MIDDLE, 1000.0, Duration::from_millis(900));
+        expect_that!(rates.prefill_time(MIDDLE, 36_000.0), eq(Duration::from_secs(1)));
     }
 
     headers_are_read_strictly => {
--- a/tests/gateway/rebirths.rs
+++ b/tests/gateway/rebirths.rs
@@ -6,7 +6,7 @@
 use gatepier::gateway::control::knowledge::{Change, Knowledge};
 use gatepier::gateway::control::mirror::Mirror;
 use gatepier::gateway::control::store::{Item, ListedUpstream, Update};
-use gatepier::gateway::place::loads::{BoxLoad, Loads, LongReads};
+use gatepier::gateway::place::peer_loads::{BoxLoad, LongPrefillOutbox, PeerLoads};
 use googletest::prelude::*;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom as _;
@@ -113,28 +113,28 @@
         let mut knowledge = Knowledge::default();
         list(&mut knowledge, born(1000));
         let former = open(&knowledge).remove(0);
-        let _running = former.enter();
-        let _reading = former.begin_reading(Duration::from_secs(2));
-        former.unconnectable(at(0));
+        let _running = former.begin_request();
+        let _reading = former.begin_prefill(Duration::from_secs(2));
+        former.record_connect_failure(at(0));
         former.lapse(at(0));
 
         let change = list(&mut knowledge, born(2000));
         let reborn = open(&knowledge).remove(0);
         expect_that!(change, eq(&Change::UpstreamReborn(reborn.life().clone())));
-        expect_that!(reborn.rests(at(0)), eq(false));
-        expect_that!(reborn.needs_connection(), eq(false));
+        expect_that!(reborn.is_backing_off(at(0)), eq(false));
+        expect_that!(reborn.needs_connect_success(), eq(false));
         expect_that!(reborn.failure_rate(at(0)), eq(0.0));
         expect_that!(reborn.outstanding(), eq(0));
-        expect_that!(reborn.unread(at(0)), eq(Duration::ZERO));
+        expect_that!(reborn.pending_prefill(at(0)), eq(Duration::ZERO));
         expect_that!(reborn.lapsed_at(), none());
     }
 
     same_life_that_is_listed_anew_keeps_what_is_known_of_it => {
         let mut knowledge = Knowledge::default();
         list(&mut knowledge, born(1000));
-        open(&knowledge).remove(0).unconnectable(at(0));
+        open(&knowledge).remove(0).record_connect_failure(at(0));
         list(&mut knowledge, ListedUpstream { slots: 9, ..born(1000) });
-        expect_that!(open(&knowledge)[0].rests(at(0)), eq(true));
+        expect_that!(open(&knowledge)[0].is_backing_off(at(0)), eq(true));
     }
 
     what_other_boxes_had_at_the_former_life_does_not_load_the_new_one => {
@@ -143,20 +143,20 @@
         let mut knowledge = Knowledge::default();
         list(&mut knowledge, born(1000));
         let former = open(&knowledge).remove(0);
-        let _running = former.enter();
-        let reported = BoxLoad::of("other", &knowledge);
-        let long_reads = LongReads::default();
-        long_reads.note("other", &former, Duration::from_secs(1));
+        let _running = former.begin_request();
+        let reported = BoxLoad::collect("other", &knowledge);
+        let long_reads = LongPrefillOutbox::default();
+        long_reads.push_if_long("other", &former, Duration::from_secs(1));
         let long_read = futures::executor::block_on(long_reads.next()).remove(0);
 
         list(&mut knowledge, born(2000));
         let reborn = open(&knowledge).remove(0);
-        let mut loads = Loads::default();
-        loads.take(reported, at(0));
-        loads.take_long_read(long_read, &knowledge, at(0));
-        loads.spread(&knowledge, at(0));
+        let mut loads = PeerLoads::default();
+        loads.set_report(reported, at(0));
+        loads.add_long_prefill(long_read, &knowledge, at(0));
+        loads.apply_to_upstreams(&knowledge, at(0));
         expect_that!(reborn.occupancy(at(0)), eq(0));
-        expect_that!(reborn.unread(at(0)), eq(Duration::ZERO));
+        expect_that!(reborn.pending_prefill(at(0)), eq(Duration::ZERO));
     }
 
     stray_answer_to_a_try_at_the_former_life_leaves_the_new_one_listed => {
--- a/tests/gateway/retries.rs
+++ b/tests/gateway/retries.rs
@@ -1,9 +1,9 @@
 //! The budget of repeats.
 
 use super::{at, cases};
-use gatepier::gateway::attempt::exchange::{NotRun, Tried};
-use gatepier::gateway::attempt::retries::{Repeat, RetryBound, RetryWindow};
-use gatepier::gateway::attempt::tries::Tries;
+use gatepier::gateway::attempt::exchange::{NotRunReason, TryOutcome};
+use gatepier::gateway::attempt::retries::{RetryBound, RetryReason, RetryWindow};
+use gatepier::gateway::attempt::tries::TryHistory;
 use googletest::prelude::*;
 use std::time::Duration;
 
@@ -16,13 +16,13 @@
 /// Makes the budget of one of ten boxes.
 fn window() -> RetryWindow {
     let mut window = RetryWindow::new(BOUND);
-    window.share_among(10);
+    window.set_box_count(10);
     window
 }
 
-fn spend(window: &mut RetryWindow, repeat: Repeat, millis: u64) -> usize {
+fn spend(window: &mut RetryWindow, repeat: RetryReason, millis: u64) -> usize {
     (0..1000)
-        .take_while(|_| window.take(repeat, at(millis)))
+        .take_while(|_| window.try_spend(repeat, at(millis)))
         .count()
 }
 
@@ -30,9 +30,9 @@
     repeats_stay_under_the_ratio_and_a_small_slack => {
         let mut window = window();
         for millis in 0..100 {
-            window.first(at(millis));
+            window.record_first(at(millis));
         }
-        let spent = spend(&mut window, Repeat::Failure, 200);
+        let spent = spend(&mut window, RetryReason::Failure, 200);
         expect_that!(spent, all!(ge(70), le(92)));
     }
 
@@ -40,8 +40,8 @@
         for boxes in [1, 6, 91, 300] {
             let spent = |_| {
                 let mut window = RetryWindow::new(BOUND);
-                window.share_among(boxes);
-                spend(&mut window, Repeat::Failure, 0) as f64
+                window.set_box_count(boxes);
+                spend(&mut window, RetryReason::Failure, 0) as f64
             };
             let total: f64 = (0..boxes).map(spent).sum();
             expect_that!(total, le(BOUND.slack), "{boxes} boxes");
@@ -50,33 +50,33 @@
 
     box_that_knows_no_other_takes_a_bounded_part_of_the_slack => {
         let mut window = RetryWindow::new(RetryBound { slack: 222.0, ..BOUND });
-        window.share_among(0);
-        expect_that!(spend(&mut window, Repeat::Failure, 0), le(8));
+        window.set_box_count(0);
+        expect_that!(spend(&mut window, RetryReason::Failure, 0), le(8));
     }
 
     escalations_leave_a_part_for_failures => {
         let mut window = window();
         for millis in 0..100 {
-            window.first(at(millis));
+            window.record_first(at(millis));
         }
-        spend(&mut window, Repeat::Escalation, 200);
-        expect_that!(window.has_room(Repeat::Escalation, at(200)), eq(false));
-        expect_that!(window.has_room(Repeat::Failure, at(200)), eq(true));
+        spend(&mut window, RetryReason::Escalation, 200);
+        expect_that!(window.has_budget(RetryReason::Escalation, at(200)), eq(false));
+        expect_that!(window.has_budget(RetryReason::Failure, at(200)), eq(true));
     }
 
     request_without_a_connection_counts_once => {
-        let tries = Tries::default();
-        expect_that!(tries.count_first(), eq(true));
-        tries.record(&Tried::NotRun(NotRun::NoConnection("refused".to_owned())));
-        expect_that!(tries.sent(), eq(0));
-        expect_that!(tries.count_first(), eq(false));
+        let tries = TryHistory::default();
+        expect_that!(tries.count_first_once(), eq(true));
+        tries.record(&TryOutcome::NotRun(NotRunReason::NoConnection("refused".to_owned())));
+        expect_that!(tries.sent_count(), eq(0));
+        expect_that!(tries.count_first_once(), eq(false));
     }
 
     old_requests_earn_nothing => {
         let mut window = window();
         for millis in 0..100 {
-            window.first(at(millis));
+            window.record_first(at(millis));
         }
-        expect_that!(spend(&mut window, Repeat::Failure, 11_000), le(2));
+        expect_that!(spend(&mut window, RetryReason::Failure, 11_000), le(2));
     }
 }
--- a/tests/gateway/rests.rs
+++ b/tests/gateway/retry_after.rs
@@ -46,53 +46,53 @@
 
     rest_lasts_as_long_as_it_was_asked_for => {
         let upstream = upstream();
-        expect_that!(upstream.asked_rest_left(at(0)), none());
-        upstream.asked_for_rest(Duration::from_secs(3), at(0));
-        let left = upstream.asked_rest_left(at(2000));
+        expect_that!(upstream.retry_after_left(at(0)), none());
+        upstream.set_retry_after(Duration::from_secs(3), at(0));
+        let left = upstream.retry_after_left(at(2000));
         expect_that!(left, some(eq(Duration::from_secs(1))));
-        expect_that!(upstream.asked_rest_left(at(3000)), none());
+        expect_that!(upstream.retry_after_left(at(3000)), none());
     }
 
     // Guards against refusals of requests that were under way, which may ask for less.
     shorter_rest_does_not_cut_a_longer_one => {
         let upstream = upstream();
-        upstream.asked_for_rest(Duration::from_secs(3), at(0));
-        upstream.asked_for_rest(Duration::from_secs(1), at(100));
-        expect_that!(upstream.is_resting_as_asked(at(2900)), eq(true));
-        upstream.asked_for_rest(Duration::from_secs(5), at(200));
-        expect_that!(upstream.is_resting_as_asked(at(5100)), eq(true));
+        upstream.set_retry_after(Duration::from_secs(3), at(0));
+        upstream.set_retry_after(Duration::from_secs(1), at(100));
+        expect_that!(upstream.is_in_retry_after(at(2900)), eq(true));
+        upstream.set_retry_after(Duration::from_secs(5), at(200));
+        expect_that!(upstream.is_in_retry_after(at(5100)), eq(true));
     }
 
     answers_that_were_under_way_do_not_end_a_rest => {
         let upstream = upstream();
-        upstream.asked_for_rest(Duration::from_secs(3), at(0));
-        upstream.took_request(at(500));
-        upstream.answered(at(500));
-        expect_that!(upstream.is_resting_as_asked(at(501)), eq(true));
+        upstream.set_retry_after(Duration::from_secs(3), at(0));
+        upstream.record_accepted_request(at(500));
+        upstream.record_success(at(500));
+        expect_that!(upstream.is_in_retry_after(at(501)), eq(true));
     }
 
     // Guards against all that waited for the end of a rest coming at the same moment.
     few_requests_go_to_an_upstream_that_has_just_rested => {
         let upstream = upstream();
-        upstream.asked_for_rest(Duration::from_secs(3), at(0));
-        let first = upstream.enter();
-        expect_that!(upstream.asked_rest_left(at(3001)), none());
-        let _second = upstream.enter();
-        expect_that!(upstream.asked_rest_left(at(3002)), some(gt(Duration::ZERO)));
-        upstream.took_request(at(3020));
-        expect_that!(upstream.asked_rest_left(at(3021)), none());
+        upstream.set_retry_after(Duration::from_secs(3), at(0));
+        let first = upstream.begin_request();
+        expect_that!(upstream.retry_after_left(at(3001)), none());
+        let _second = upstream.begin_request();
+        expect_that!(upstream.retry_after_left(at(3002)), some(gt(Duration::ZERO)));
+        upstream.record_accepted_request(at(3020));
+        expect_that!(upstream.retry_after_left(at(3021)), none());
         drop(first);
     }
 
     own_rest_and_asked_rest_do_not_shorten_each_other => {
         let upstream = upstream();
-        upstream.unconnectable(at(0));
-        upstream.asked_for_rest(Duration::from_millis(100), at(0));
-        expect_that!(upstream.rests(at(200)), eq(true));
-        expect_that!(upstream.is_resting_as_asked(at(200)), eq(false));
-        upstream.asked_for_rest(Duration::from_secs(30), at(300));
-        upstream.connectable();
-        expect_that!(upstream.is_resting_as_asked(at(10_000)), eq(true));
+        upstream.record_connect_failure(at(0));
+        upstream.set_retry_after(Duration::from_millis(100), at(0));
+        expect_that!(upstream.is_backing_off(at(200)), eq(true));
+        expect_that!(upstream.is_in_retry_after(at(200)), eq(false));
+        upstream.set_retry_after(Duration::from_secs(30), at(300));
+        upstream.record_connect_success();
+        expect_that!(upstream.is_in_retry_after(at(10_000)), eq(true));
     }
 
     signs_are_read_from_the_head_of_an_answer => {
--- a/tests/gateway/trials.rs
+++ b/tests/gateway/trials.rs
@@ -10,7 +10,7 @@
 use super::cases;
 use gatepier::clock::{Now, WallTime};
 use gatepier::gateway::control::store::{RolloutOrder, RolloutRecord, RolloutState};
-use gatepier::gateway::place::choose::draw;
+use gatepier::gateway::place::choose::stable_hash;
 use gatepier::gateway::versions::exposure::{ExposureBound, Span};
 use gatepier::gateway::versions::observed::{Kind, Measure, Trial};
 use gatepier::gateway::versions::rollout::{MOVING, Progress, next_record, stage_since};
@@ -300,7 +300,8 @@
         let permille = self.boxes[at_box]
             .record(at)
             .map_or(0, |record| record.permille);
-        let is_by_engine = |engines| draw(&format!("engine of {number}")).is_multiple_of(engines);
+        let is_by_engine =
+            |engines| stable_hash(&format!("engine of {number}")).is_multiple_of(engines);
         is_by_version && permille >= self.plan.slowed_from
             || self.plan.slow_one_of.is_some_and(is_by_engine)
     }
@@ -317,7 +318,7 @@
         let is_found = at_box.watch.finding(ORDER).is_some();
         let by_stage = |record: &RolloutRecord| {
             let is_running = record.state == RolloutState::Running && !is_found;
-            let is_moved = draw(&number.to_string()) % 1000 < u64::from(record.permille);
+            let is_moved = stable_hash(&number.to_string()) % 1000 < u64::from(record.permille);
             record.state == RolloutState::Done || is_running && is_moved
         };
         at_box.record(at).is_some_and(by_stage)
--- a/tests/gateway/warm_up.rs
+++ b/tests/gateway/warm_up.rs
@@ -3,7 +3,7 @@
 
 use super::{at, cases, listed};
 use gatepier::gateway::attempt::upstream::Upstream;
-use gatepier::gateway::place::warm_up::{Fleet, WarmUp};
+use gatepier::gateway::place::warm_up::{FleetView, WarmUp};
 use googletest::prelude::*;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,8 +11,8 @@
 
 /// What an upstream bears while it warms up.
 const BEARS: WarmUp = WarmUp {
-    lasts: Duration::from_secs(3),
-    per_second: 8.8,
+    duration: Duration::from_secs(3),
+    requests_per_second: 8.8,
 };
 /// How often each box would send, if it might.
 const TICK_MS: u64 = 10;
@@ -38,7 +38,7 @@
 impl SendingBox {
     fn new(number: usize, knows: &[SocketAddr], up_for: Duration, instance: &str) -> Self {
         let upstream = Upstream::new(listed(instance, "engine", "ikeja"));
-        upstream.begin_warm_up(BEARS.lasts, at(0));
+        upstream.begin_warm_up(BEARS.duration, at(0));
         Self {
             own: address(number),
             knows: knows.to_vec(),
@@ -48,19 +48,19 @@
     }
 
     fn left(&self, millis: u64) -> Option<Duration> {
-        let fleet = Fleet {
-            own: self.own,
-            boxes: &self.knows,
-            up_for: self.up_for + Duration::from_millis(millis),
+        let fleet = FleetView {
+            own_address: self.own,
+            box_addresses: &self.knows,
+            uptime: self.up_for + Duration::from_millis(millis),
         };
-        self.upstream.turn_left(BEARS, fleet, at(millis))
+        self.upstream.warm_up_delay(BEARS, fleet, at(millis))
     }
 
     /// Sends a request if the box may at a moment.
     fn sends(&self, millis: u64) -> bool {
         let may = self.left(millis).is_none();
         if may {
-            self.upstream.take_turn(at(millis));
+            self.upstream.record_warm_up_send(at(millis));
         }
         may
     }
@@ -68,7 +68,7 @@
 
 /// Returns when requests go out while an upstream warms up.
 fn sent(boxes: &[SendingBox]) -> Vec<u64> {
-    let end = u64::try_from(BEARS.lasts.as_millis()).unwrap();
+    let end = u64::try_from(BEARS.duration.as_millis()).unwrap();
     let moments = (0..end).step_by(usize::try_from(TICK_MS).unwrap());
     moments
         .flat_map(|millis| {
@@ -101,7 +101,7 @@
 
 cases! {
     boxes_together_send_no_more_than_a_cold_upstream_bears => {
-        let bears = BEARS.per_second as usize + 1;
+        let bears = BEARS.requests_per_second as usize + 1;
         for count in [1, 2, 5, 9, 84, 300] {
             let boxes = addresses(0..count);
             let make = |instance: &str| -> Vec<SendingBox> {
@@ -111,7 +111,7 @@
             let most = if count < bears { 2 * bears - 4 } else { bears };
             expect_that!(worst(make), le(most), "{count} boxes");
             let in_all = sent(&make("i-0")).len();
-            let seconds = BEARS.lasts.as_secs() as usize;
+            let seconds = BEARS.duration.as_secs() as usize;
             expect_that!(in_all, ge(seconds * 5), "{count} boxes use what it bears");
             expect_that!(in_all, le((seconds + 1) * bears), "{count} boxes");
         }
@@ -153,14 +153,14 @@
 
     upstream_is_used_in_full_once_it_is_warm => {
         let alone = SendingBox::new(0, &addresses(0..84), LONG_UP, "i-0");
-        let end = u64::try_from(BEARS.lasts.as_millis()).unwrap();
+        let end = u64::try_from(BEARS.duration.as_millis()).unwrap();
         expect_that!(alone.left(end), none());
         expect_that!(alone.upstream.is_warming_up(at(end)), eq(false));
     }
 
     upstream_that_turns_cold_again_is_spared_again => {
         let alone = SendingBox::new(0, &addresses(0..1), LONG_UP, "i-0");
-        alone.upstream.begin_warm_up(BEARS.lasts, at(5000));
+        alone.upstream.begin_warm_up(BEARS.duration, at(5000));
         expect_that!(alone.sends(5000), eq(true));
         expect_that!(alone.left(5010), some(gt(Duration::ZERO)));
     }
--- a/tests/spreading.rs
+++ b/tests/spreading.rs
@@ -20,7 +20,7 @@
 use gatepier::clock::Now;
 use gatepier::gateway::Gateway;
 use gatepier::gateway::admit::routes::{CallerLimits, RouteTable};
-use gatepier::gateway::attempt::protocol::Headers;
+use gatepier::gateway::attempt::headers::HeaderNames;
 use gatepier::gateway::attempt::retries::RetryBound;
 use gatepier::gateway::control::follow::take_changes;
 use gatepier::gateway::control::mirror::Changes;
@@ -122,9 +122,9 @@
     }
 }
 
-fn headers() -> Headers {
+fn headers() -> HeaderNames {
     let name = http::HeaderName::from_static;
-    Headers {
+    HeaderNames {
         request_id: name("x-request-id"),
         deadline: name("x-deadline"),
         key: name("x-key"),
