--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -1,4 +1,4 @@
-//! Which upstream, and which model, a request is to go to.
+//! Placement: which upstream and which model a request is sent to.
 
 pub mod cache_affinity;
 pub mod candidates;
--- a/src/gateway/place/cache_affinity.rs
+++ b/src/gateway/place/cache_affinity.rs
@@ -1,31 +1,32 @@
-//! Which engines keep what requests share.
+//! Cache affinity: which engines are expected to have the shared prefix of a prompt in their cache.
 //!
-//! An engine keeps the beginnings of prompts that it has read, for each model. All boxes
-//! expect the same engines to keep a beginning, by a hash, so they agree without talking to
-//! each other. See `docs/design/platform.md`.
+//! An engine caches, for each model, the prefixes of the prompts that it has processed. Every box
+//! picks the same engines for a prefix by rendezvous hashing, so boxes agree without exchanging
+//! messages. See `docs/design/platform.md`.
 
 use crate::gateway::attempt::upstream::Upstream;
 use std::rc::Rc;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// How many engines are expected to keep the same beginning of prompts.
+/// How many engines are expected to cache the same prompt prefix.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CacheReplication {
-    /// One of all halls: each one more reads it once more, which takes long and is priced.
+    /// One engine across all halls. Each further engine would compute the prefix once more, which
+    /// takes long and is charged for.
     OneEngine,
-    /// One in each hall, so that requests need not leave their hall: for models that read
-    /// fast, a second read costs less than the ways between halls.
+    /// One engine in each hall, so that requests can stay in their hall. For models with a fast
+    /// prefill, computing the prefix twice costs less than traffic between halls.
     OneEnginePerHall,
 }
 
-/// The engines that are expected to keep one beginning.
+/// The engines that are expected to cache one prefix.
 #[derive(Debug)]
 pub struct CachingEngines {
     instances: Vec<String>,
 }
 
 impl CachingEngines {
-    /// Finds the engines among candidates that keep the beginning of this name.
+    /// Selects the engines among the candidates that are expected to cache a prefix.
     pub fn among(
         candidates: &[&Rc<Upstream>],
         prefix_key: &str,
@@ -47,13 +48,13 @@
         Self { instances }
     }
 
-    /// Tells whether an engine is one of them.
+    /// Returns whether an engine is one of them.
     pub fn contain(&self, upstream: &Upstream) -> bool {
         upstream.with_listed(|listed| self.instances.contains(&listed.instance))
     }
 }
 
-/// Returns the rank of an upstream in the order of a seed; the highest goes first.
+/// Returns the rendezvous-hashing weight of an upstream for a seed; the highest weight wins.
 pub fn rendezvous_weight(upstream: &Upstream, seed: u64) -> u64 {
     upstream.with_listed(|listed| xxh3_64_with_seed(listed.instance.as_bytes(), seed))
 }
--- a/src/gateway/place/candidates.rs
+++ b/src/gateway/place/candidates.rs
@@ -1,4 +1,4 @@
-//! Which upstreams may get a request of a service now.
+//! Which upstreams of a service can be sent a request now.
 
 use super::warm_up::FleetView;
 use crate::clock::Now;
@@ -10,17 +10,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Why an upstream takes no request of this box, and for how long.
+/// Why this box sends an upstream no requests for now, and for how long.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BackOff {
-    /// It has asked this box for rest.
+    /// The upstream asked this box to back off (`Retry-After`).
     RetryAfter(Duration),
-    /// It warms up, and this box has no turn.
+    /// The upstream is warming up, and this box may not send to it yet.
     WarmingUp(Duration),
 }
 
 impl BackOff {
-    /// Returns how long it lasts.
+    /// Returns how long the back-off still lasts.
     pub fn remaining(self) -> Duration {
         match self {
             Self::RetryAfter(left) | Self::WarmingUp(left) => left,
@@ -29,7 +29,7 @@
 }
 
 impl Gateway {
-    /// Returns the upstreams of a service that may serve a session's request now.
+    /// Returns the upstreams of a service that can be sent a request of a session now.
     pub fn candidates(&self, service: &str, session: &str, now: Now) -> Vec<Rc<Upstream>> {
         let allowed = self.allowed_upstreams(service, session, now);
         let back_offs = self.back_offs(service, &allowed, now);
@@ -45,18 +45,18 @@
             .collect()
     }
 
-    /// Returns the shortest pause of the upstreams that may serve a session's request; none if
-    /// there is no upstream, or one that takes requests now.
+    /// Returns the shortest back-off among the upstreams that may serve a request of a session;
+    /// `None` if there is no such upstream, or if one accepts requests now.
     pub fn shortest_back_off(&self, service: &str, session: &str, now: Now) -> Option<BackOff> {
         let allowed = self.allowed_upstreams(service, session, now);
         let back_offs = self.back_offs(service, &allowed, now).into_iter();
-        // An upstream that takes requests now has no time left, and that is the least.
+        // `None`, an upstream that accepts requests now, sorts before every remaining time.
         back_offs
             .min_by_key(|back_off| back_off.map(BackOff::remaining))
             .flatten()
     }
 
-    /// Tells whether operators have evacuated the halls of all upstreams of a service.
+    /// Returns whether operators have evacuated the halls of all upstreams of a service.
     pub fn is_evacuated(&self, service: &str) -> bool {
         let knowledge = self.knowledge.borrow();
         let mut of_service = knowledge
@@ -97,7 +97,8 @@
         knowledge.boxes().map(|entry| entry.address).collect()
     }
 
-    /// Returns the upstreams of a service that may serve a session's request once they take requests.
+    /// Returns the upstreams that may serve a request of a session by the rules of the roll-out,
+    /// including those that are in back-off.
     fn allowed_upstreams(&self, service: &str, session: &str, now: Now) -> Vec<Rc<Upstream>> {
         let knowledge = self.knowledge.borrow();
         let mut open = knowledge.open_upstreams(service, now);
--- a/src/gateway/place/choose.rs
+++ b/src/gateway/place/choose.rs
@@ -1,8 +1,8 @@
-//! Which upstream gets a request.
+//! Chooses the upstream for a request.
 //!
-//! Requests with the same beginning go to the engine that keeps it, since it need not read
-//! it anew; plain requests stay in their hall. Both give way when an upstream is full, fails
-//! or rests. See `docs/design/platform.md`.
+//! Prompts with a shared prefix go to the engine that has the prefix cached, which saves computing
+//! it again; plain requests stay in their hall. Both rules yield when an upstream is full, failing
+//! or in back-off. See `docs/design/platform.md`.
 
 use super::cache_affinity::rendezvous_weight;
 use super::engine_cost::{PlacementCost, PrefixSource, SharedPrompt, engine_costs};
@@ -13,59 +13,59 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Fullness that leaving the hall counts for: an upstream of another hall is taken when
-/// the own one is this much fuller. The way costs a millisecond or two each way, about
-/// a tenth of a plain request's work.
-const OTHER_HALL: f64 = 0.35;
-/// Engines that all boxes together compare for the requests of one moment. Each box's
-/// picture of the others' load is old, and older with more boxes; if all compared all
-/// engines, they would all pick the one that looked emptiest.
-const COMPARED_BY_ALL: usize = 90;
-/// The fewest engines that are compared.
-const LEAST_COMPARED: usize = 3;
+/// Penalty for an upstream in another hall, in units of slot utilization: another hall is chosen
+/// once the local upstream is fuller by this much. The network takes one or two milliseconds each
+/// way, about a tenth of the time of a plain request.
+const OTHER_HALL_PENALTY_UTILIZATION: f64 = 0.35;
+/// Number of engines that all boxes together compare at the same moment. A box's view of the load
+/// from other boxes is stale, more so with more boxes; if all boxes compared all engines, they
+/// would all pick the one that looked least loaded.
+const FLEET_COMPARED_ENGINES: usize = 90;
+/// Minimum number of engines that a box compares.
+const MIN_COMPARED_ENGINES: usize = 3;
 
-/// What placement asks of a request.
+/// What a placement decision depends on, besides the candidates.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementParams<'a> {
-    /// The box's hall.
+    /// The hall of this box.
     pub hall: &'a str,
-    /// The prompt, where a model engine is asked.
+    /// The prompt, for requests to model engines.
     pub prompt: Option<SharedPrompt<'a>>,
-    /// The lives of upstreams that were tried already.
+    /// The upstreams that were already tried.
     pub tried: &'a [UpstreamLife],
-    /// A number of the request, which spreads equal choices.
+    /// A hash of the request, which samples the engines to compare and breaks ties.
     pub seed: u64,
-    /// How many engines are compared beside those that keep the prompt's beginning.
+    /// How many engines are compared, besides those that have the prefix cached.
     pub engines_to_compare: usize,
 }
 
-/// The upstream that a request goes to, and what it finds there.
+/// The upstream chosen for a request, and the load expected there.
 #[derive(Debug, Clone)]
 pub struct PlacementChoice {
-    /// The upstream.
+    /// The chosen upstream.
     pub upstream: Rc<Upstream>,
-    /// How long the upstream reads what other requests have sent.
+    /// Expected time that the upstream spends on the prompts of other requests first.
     pub queue_wait: Duration,
-    /// How long it then reads this request's prompt.
+    /// Expected time of this request's own prefill.
     pub prefill: Duration,
-    /// How it comes by the shared beginning of the prompt; read, for plain upstreams.
+    /// Where the engine gets the shared prefix from; `Computed` for plain upstreams.
     pub prefix_source: PrefixSource,
 }
 
 impl PlacementChoice {
-    /// Tells whether the time to the first event shows how fast the engine reads: it reads
-    /// the prompt whole, and nothing else as far as is known.
+    /// Returns whether the time to the first event measures the prefill rate of the engine: it
+    /// computes the whole prompt and, as far as is known, nothing else.
     pub fn measures_prefill_rate(&self) -> bool {
         self.prefix_source == PrefixSource::Computed && self.queue_wait.is_zero()
     }
 }
 
-/// Returns how many engines a box compares, by the number of boxes.
+/// Returns how many engines each box compares, given the number of boxes.
 pub fn engines_to_compare(boxes: usize) -> usize {
-    (COMPARED_BY_ALL / boxes.max(1)).max(LEAST_COMPARED)
+    (FLEET_COMPARED_ENGINES / boxes.max(1)).max(MIN_COMPARED_ENGINES)
 }
 
-/// Chooses an upstream among those that may run a request.
+/// Chooses the cheapest of the candidates that have not been tried.
 pub fn choose_placement(
     candidates: &[Rc<Upstream>],
     params: PlacementParams<'_>,
@@ -96,8 +96,8 @@
     })
 }
 
-/// Chooses the upstream for a request that may crash it: where the fewest others run, and of these
-/// by the request, so that two such requests seldom meet.
+/// Chooses the upstream for a request that may crash it: the one with the fewest other requests.
+/// Ties are broken by a hash of the request, so that two suspect requests rarely share an upstream.
 pub fn choose_for_trial(
     candidates: &[Rc<Upstream>],
     tried: &[UpstreamLife],
@@ -114,12 +114,17 @@
     Some(fewest.clone())
 }
 
-/// Returns what each upstream of a plain service would cost, in parts of its slots.
+/// Returns the cost of each upstream of a plain service, in fractions of its slots.
 fn plain_costs(candidates: &[&Rc<Upstream>], hall: &str, now: Now) -> Vec<PlacementCost> {
     let cost = |upstream: &&Rc<Upstream>| {
-        let is_away = upstream.with_listed(|listed| listed.hall != hall);
+        let is_other_hall = upstream.with_listed(|listed| listed.hall != hall);
         PlacementCost {
-            cost: upstream.penalty(now) + if is_away { OTHER_HALL } else { 0.0 },
+            cost: upstream.penalty(now)
+                + if is_other_hall {
+                    OTHER_HALL_PENALTY_UTILIZATION
+                } else {
+                    0.0
+                },
             queue_wait: Duration::ZERO,
             prefill: Duration::ZERO,
             prefix_source: PrefixSource::Computed,
@@ -128,7 +133,7 @@
     candidates.iter().map(cost).collect()
 }
 
-/// Returns a number that a text always gives, to spread requests evenly.
+/// Returns a hash of a text that is the same in every box and process.
 pub fn stable_hash(text: &str) -> u64 {
     xxh3_64(text.as_bytes())
 }
--- a/src/gateway/place/engine_cost.rs
+++ b/src/gateway/place/engine_cost.rs
@@ -1,9 +1,9 @@
-//! What it costs to send a prompt to an engine: one sum in one unit, milliseconds of an
-//! engine's time.
+//! Estimates the cost of sending a prompt to an engine, as one sum in milliseconds of engine time.
 //!
-//! Reading prompts fills engines before anything else does, so what a request costs others
-//! counts in the time that it keeps an engine from reading theirs; what is priced otherwise
-//! is weighed against that. See `docs/design/platform.md`.
+//! Prefill (processing the prompt before the first output token) saturates engines before anything
+//! else does. The cost of a request is therefore the time for which it keeps an engine from the
+//! prefill of others, and charged resources are converted to the same unit. See
+//! `docs/design/platform.md`.
 
 use super::cache_affinity::{CacheReplication, CachingEngines, rendezvous_weight};
 use super::choose::PlacementParams;
@@ -13,55 +13,57 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Milliseconds that reading a token of a shared part anew counts for beyond the time it
-/// takes, whatever the model: it is priced by token, and it drives out what the engine kept.
-/// A shared part of 5,400 tokens is worth a wait of 0.3 s.
+/// Cost in milliseconds for each token of a shared prefix that is computed again, on top of the
+/// time that it takes and for any model: prefill is charged by token, and it evicts other prefixes
+/// from the engine's cache. A prefix of 5,400 tokens is worth a wait of 0.3 s.
 const PREFIX_PREFILL_COST_MS_PER_TOKEN: f64 = 0.055;
-/// Milliseconds that fetching a token of a shared part from the engine that keeps it counts
-/// for. The fetch itself takes some milliseconds in all, but what is moved is priced.
+/// Cost in milliseconds for each token of a shared prefix that is fetched from the engine that has
+/// it cached. The transfer itself takes only some milliseconds, but the bytes moved are charged
+/// for.
 ///
-/// Fetching makes engines equal for a shared part, so that the idle one can be taken: callers
-/// wait less, and more of them get answers of the large model.
+/// Fetching makes all engines equal for a prefix, so that an idle one can be chosen. Callers wait
+/// less, and more of them get answers of the large model.
 const PREFIX_FETCH_COST_MS_PER_TOKEN: f64 = 0.045;
-/// Milliseconds that each kilobyte of a request counts for which leaves the hall.
+/// Cost in milliseconds for each kilobyte of a request that is sent to another hall.
 ///
-/// Bytes between halls are priced; models that read fast keep beginnings in each hall, so that
-/// their requests need not leave it.
+/// Traffic between halls is charged for. Models with a fast prefill have their prefixes cached in
+/// each hall, so their requests need not leave it.
 const CROSS_HALL_COST_MS_PER_KB: f64 = 14.0;
-/// Milliseconds that an engine's slots count for when they are full. An engine slows down
-/// little with the number of its requests, so this matters only near the last slots.
+/// Cost in milliseconds of an engine whose slots are all in use; lower utilization costs
+/// proportionally less. An engine slows down little with the number of its requests, so this
+/// matters only for the last free slots.
 const FULL_SLOTS_COST_MS: f64 = 220.0;
-/// Milliseconds that a request out of slots waits for at least: an engine that has none free
-/// is taken only when all others are worse.
+/// Cost in milliseconds of an engine without a free slot, multiplied by its slot utilization: such
+/// an engine is chosen only if all others are worse.
 const NO_FREE_SLOT_COST_MS: f64 = 11_000.0;
-/// Milliseconds by which an engine that is not compared looks dearer: it is taken only when
-/// all that are compared rest, fail or are full.
+/// Cost in milliseconds added to engines outside of the compared sample: they are chosen only if
+/// all compared engines are in back-off, failing or full.
 const NOT_COMPARED_COST_MS: f64 = 5_500.0;
-/// Milliseconds that one unit of penalty for failures and rest counts for.
+/// Cost in milliseconds of one unit of the penalty for failures and back-off.
 const PENALTY_UNIT_COST_MS: f64 = 1_100.0;
-/// The bytes of a kilobyte.
+/// Number of bytes in a kilobyte.
 const BYTES_PER_KB: f64 = 1000.0;
 
-/// A prompt whose beginning other requests share.
+/// A prompt that shares a prefix with other requests.
 #[derive(Debug, Clone, Copy)]
 pub struct SharedPrompt<'a> {
-    /// What names the shared beginning and the model.
+    /// Identifies the shared prefix and the model.
     pub prefix_key: &'a str,
-    /// How many engines are expected to keep that beginning.
+    /// How many engines are expected to have the prefix cached.
     pub replication: CacheReplication,
-    /// How long an engine that has kept nothing of it reads the prompt.
+    /// Prefill time on an engine that has none of the prompt cached.
     pub full_prefill: Duration,
-    /// How long an engine that has kept the shared beginning reads the rest.
+    /// Prefill time on an engine that has the shared prefix cached.
     pub suffix_prefill: Duration,
-    /// The tokens of the shared beginning.
+    /// Number of tokens in the shared prefix.
     pub shared_tokens: f64,
-    /// The bytes of the request.
+    /// Size of the request body in bytes.
     pub request_bytes: usize,
 }
 
 impl SharedPrompt<'_> {
-    /// Returns what fetching the shared beginning costs, if that is less than the time that
-    /// reading it takes.
+    /// Returns the cost of fetching the shared prefix, or `None` if computing it takes less time
+    /// than that.
     fn fetch_cost_ms(&self) -> Option<f64> {
         let cost_ms = self.shared_tokens * PREFIX_FETCH_COST_MS_PER_TOKEN;
         let saved_ms = millis(self.full_prefill.saturating_sub(self.suffix_prefill));
@@ -69,19 +71,19 @@
     }
 }
 
-/// How an engine comes by the shared beginning of a prompt.
+/// Where an engine gets the shared prefix of a prompt from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PrefixSource {
-    /// It is expected to have kept it.
+    /// Expected to be in its own cache.
     Cached,
-    /// It fetches it from the engine at this address, which is expected to have kept it.
+    /// Fetched from the engine at this address, which is expected to have it cached.
     Fetched(SocketAddr),
-    /// It reads it.
+    /// Computed by the engine itself.
     Computed,
 }
 
 impl PrefixSource {
-    /// Returns the name that logs give it.
+    /// Returns the name used in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Cached => "kept",
@@ -91,24 +93,24 @@
     }
 }
 
-/// What a request costs and finds at an upstream.
+/// Estimated cost of a request at one upstream, and its parts.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementCost {
-    /// The sum by which upstreams are compared: in milliseconds of an engine, or in parts of
-    /// a plain upstream's slots.
+    /// The sum by which upstreams are compared: in milliseconds of engine time, or in fractions of
+    /// the slots of a plain upstream.
     pub cost: f64,
-    /// How long the engine reads what other requests have sent.
+    /// Time that the engine first spends on the prompts of other requests.
     pub queue_wait: Duration,
-    /// How long it then reads this prompt.
+    /// This prompt's own prefill time.
     pub prefill: Duration,
-    /// How it comes by the shared beginning.
+    /// Where the engine gets the shared prefix from.
     pub prefix_source: PrefixSource,
 }
 
-/// Returns what a prompt would cost at each engine.
+/// Returns the cost of a prompt at each engine.
 ///
-/// All engines but a few, drawn by the request, and those that keep the prompt's beginning,
-/// are so dear that they are not taken.
+/// Only a sample of engines, selected by a hash of the request, and the engines that have the
+/// prefix cached are compared; all others get a cost so high that they are a last resort.
 pub fn engine_costs(
     candidates: &[&Rc<Upstream>],
     params: PlacementParams<'_>,
@@ -131,8 +133,8 @@
     candidates.iter().map(cost).collect()
 }
 
-/// Returns the engines from which others may fetch a prompt's shared beginning: none where
-/// fetching does not pay.
+/// Returns the engines that others can fetch the shared prefix from; empty if fetching does not pay
+/// off.
 fn fetch_sources<'a>(
     candidates: &[&'a Rc<Upstream>],
     caching_engines: &CachingEngines,
@@ -148,7 +150,8 @@
     candidates.iter().copied().filter(can_serve).collect()
 }
 
-/// Tells how an engine would come by a prompt's shared beginning.
+/// Returns where an engine would get the shared prefix from. It can be fetched only from an engine
+/// with the same weights.
 fn prefix_source(
     caching_engines: &CachingEngines,
     fetch_sources: &[&Rc<Upstream>],
@@ -209,7 +212,7 @@
     }
 }
 
-/// Returns the rank of the engine at a place, counted from one, in the order of a seed.
+/// Returns the weight at a position, counted from one, in descending order of rendezvous weights.
 fn nth_weight(candidates: &[&Rc<Upstream>], seed: u64, position: usize) -> u64 {
     let mut weights: Vec<u64> = candidates
         .iter()
--- a/src/gateway/place/escalation.rs
+++ b/src/gateway/place/escalation.rs
@@ -1,51 +1,51 @@
-//! Which of a route's models answers, and whether a smaller model's answer will do.
+//! Decides whether a smaller model's answer is good enough or a larger model is asked.
 //!
-//! The smallest model is asked first. Engines say with the head of an answer how sure they are of it. As long as the caller
-//! has none of the answer, it may be dropped and a larger model asked. See
-//! `docs/design/platform.md` for the measurements behind the figures.
+//! The smallest model of a route is asked first. Engines report in the head of an answer how
+//! confident the model is in it. Until the caller has received any part of the answer, it can be
+//! dropped and a larger model asked. The measurements behind the constants are in
+//! `docs/design/platform.md`.
 
 use std::time::Duration;
 
-/// The least confidence, from 0 to 100, with which a smaller model's answer is passed on, for the
-/// most urgent of the routes that choose models and for the least urgent one.
+/// Minimum confidence, from 0 to 100, at which a smaller model's answer is accepted: for the most
+/// urgent and for the least urgent of the routes that choose a model; interpolated between them.
 ///
-/// Operators rank first what matters most to callers for what it costs; there the larger model is
-/// worth its price at less doubt.
+/// Operators rank routes by their value to callers relative to cost, so on the most urgent routes
+/// the larger model is worth its price even at less doubt.
 const MIN_CONFIDENCE_FIRST_RANK_PERCENT: f64 = 60.0;
 const MIN_CONFIDENCE_LAST_RANK_PERCENT: f64 = 46.0;
-/// The least confidence with which the next larger model is asked and not the largest.
-/// Confidence falls evenly with how far a request is beyond a model, and the next model
-/// reaches as far as some sixteen of a hundred further, for half the largest one's price
-/// and a quarter of its time.
+/// Minimum confidence at which the next larger model is asked rather than the largest. Confidence
+/// falls linearly with how far a request exceeds a model's ability; the next model reaches some 16
+/// percentage points further, at half of the largest model's price and a quarter of its time.
 const NEXT_MODEL_MIN_CONFIDENCE_PERCENT: u32 = 36;
-/// The same where the largest model would be late.
+/// The same, if the largest model would be too late.
 const NEXT_MODEL_FALLBACK_MIN_CONFIDENCE_PERCENT: u32 = 20;
-/// The part of the objective, in hundredths, within which the larger model's first event
-/// has to be expected; a late answer earns less than a poor one that cost nothing. What the
-/// other boxes send meanwhile is not in the expected time.
+/// Percentage of the time left of the objective within which the larger model's first event must be
+/// expected. A late answer earns less than a poor answer that cost nothing, and the estimate does
+/// not include what other boxes send in the meantime.
 const IN_TIME_PERCENT: u32 = 80;
-/// The part of what is left of the objective, in hundredths, that the largest model's
-/// prompts waiting ahead may take. It is ten times dearer in time than the smallest; when
-/// its prompts fill the engines, every request of every model waits.
+/// Percentage of the time left of the objective that queued prompts may take before a larger
+/// model's own. The largest model takes ten times as long as the smallest; if its prompts fill the
+/// engines, requests of all models wait.
 const QUEUE_WAIT_PERCENT: u32 = 20;
 
-/// What to do with an answer that has just begun.
+/// What to do with an answer whose head has arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EscalationDecision {
-    /// The answer is passed on: the model is sure of it, or there is no larger one.
+    /// Pass the answer on: the model is confident, or there is no larger one.
     Accept,
-    /// The answer is passed on though the model is unsure: no larger one would be in time.
+    /// Pass the answer on despite low confidence: no larger model would be in time.
     AcceptUnsure,
-    /// The answer is dropped, and the model at this place of the route's list asked.
+    /// Drop the answer and ask the model at this index of the route's list.
     Escalate(usize),
 }
 
-/// How long until a model's first event is expected.
+/// Expected time until a model's first event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ExpectedFirstEvent {
-    /// In all.
+    /// The whole time.
     pub total: Duration,
-    /// For what waits ahead of this request's own prompt.
+    /// The part of it that is spent on the prompts queued before this one.
     pub queue_wait: Duration,
 }
 
@@ -56,20 +56,20 @@
     }
 }
 
-/// An answer that has just begun.
+/// An answer whose head has arrived.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StartedAnswer {
-    /// The place of its model in the route's list.
+    /// Index of its model in the route's list.
     pub model_index: usize,
-    /// How sure the model is of it, from 0 to 100, where it says so.
+    /// The model's confidence in the answer, from 0 to 100, if reported.
     pub confidence: Option<u32>,
-    /// How far down the route's rank is; see
+    /// Rank of the route, from 0 for the most urgent to 1 for the least urgent; see
     /// [`RouteTable::rank_part`](crate::gateway::admit::routes::RouteTable::rank_part).
     pub rank_fraction: f64,
 }
 
 impl StartedAnswer {
-    /// Returns the model's confidence if it does not do for the route.
+    /// Returns the model's confidence if it is too low for the route.
     fn insufficient_confidence(self) -> Option<u32> {
         let span = MIN_CONFIDENCE_FIRST_RANK_PERCENT - MIN_CONFIDENCE_LAST_RANK_PERCENT;
         let required = MIN_CONFIDENCE_FIRST_RANK_PERCENT - span * self.rank_fraction;
@@ -78,10 +78,10 @@
     }
 }
 
-/// Judges an answer that has just begun.
+/// Decides whether an answer is accepted or a larger model is asked.
 ///
-/// `expected` tells for each model how long its first event would take, and `left` what
-/// is left of the objective. A larger model is asked only if it would be in time.
+/// `expected` holds the expected time of the first event for each model, and `time_left` is what is
+/// left of the objective. A larger model is asked only if it would be in time.
 pub fn judge_answer(
     answer: StartedAnswer,
     expected: &[ExpectedFirstEvent],
--- a/src/gateway/place/peer_loads.rs
+++ b/src/gateway/place/peer_loads.rs
@@ -1,4 +1,4 @@
-//! What all boxes have under way at each upstream.
+//! Load reports between boxes: what each box has in flight at each upstream.
 
 use super::choose::stable_hash;
 use crate::clock::Now;
@@ -10,15 +10,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The shortest time between two reports of a box; requests wait about as long to be read.
+/// Minimum time between two reports of a box; requests wait about as long for their prefill.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(120);
-/// The time between two reports that each other box adds, so that a box gets some sixty
-/// reports a second however many boxes there are.
+/// Time that each other box adds to the report interval, so that a box receives some sixty reports
+/// a second regardless of the number of boxes.
 const REPORT_INTERVAL_PER_BOX: Duration = Duration::from_millis(15);
-/// The time that a read takes from which its beginning is told at once: the next report may
+/// Minimum length of a prefill that is announced to other boxes as it starts: the next report may
 /// be a second away.
 const MIN_LONG_PREFILL: Duration = Duration::from_millis(165);
-/// How many intervals a report is believed when no other follows.
+/// Number of report intervals after which a report expires if no other follows.
 const REPORT_LIFETIME_INTERVALS: u32 = 6;
 
 /// Returns the time between two reports of each box.
@@ -27,50 +27,50 @@
     (REPORT_INTERVAL_PER_BOX * boxes).max(MIN_REPORT_INTERVAL)
 }
 
-/// What one box has under way.
+/// What one box has in flight.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct BoxLoad {
-    /// The hash of the name of the box's life.
+    /// Hash of the name of this run of the reporting box.
     reporter: u64,
-    /// The upstreams with something under way. Bytes between halls are priced, and this
-    /// goes to every box, so upstreams go by [`Upstream::short_hash`].
+    /// The upstreams with requests in flight, identified by [`Upstream::short_hash`]: the report
+    /// goes to every box, and bytes between halls are charged for.
     upstreams: Vec<UpstreamReport>,
 }
 
-/// What one box has under way at one upstream.
+/// What one box has in flight at one upstream.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 struct UpstreamReport {
     upstream: u32,
-    /// How long reading what waits takes, in milliseconds.
+    /// Total time of the prefills still pending, in milliseconds.
     pending_prefill_ms: u32,
-    /// The number of requests.
+    /// Number of requests in flight.
     outstanding: u32,
 }
 
-/// The news that a box begins a long read, ahead of its next report.
+/// Announces that a box starts a long prefill, ahead of the box's next report.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct LongPrefill {
-    /// The hash of the name of the box's life.
+    /// Hash of the name of this run of the reporting box.
     reporter: u64,
     /// [`Upstream::short_hash`].
     upstream: u32,
-    /// How long it takes, in milliseconds.
+    /// Expected prefill time in milliseconds.
     prefill_ms: u32,
 }
 
 impl LongPrefill {
-    /// Returns how long it takes.
+    /// Returns the expected prefill time.
     pub fn prefill(&self) -> Duration {
         Duration::from_millis(self.prefill_ms.into())
     }
 }
 
-/// Long reads that this box began and has still to tell of.
+/// Long prefills started by this box that are still to be announced to other boxes.
 #[derive(Debug, Default)]
 pub struct LongPrefillOutbox(Outbox<LongPrefill>);
 
 impl LongPrefillOutbox {
-    /// Notes a read that begins, if it is long enough to tell of.
+    /// Queues the announcement of a prefill that starts, if it is long enough.
     pub fn push_if_long(&self, reporter: &str, upstream: &Upstream, prefill: Duration) {
         if prefill < MIN_LONG_PREFILL {
             return;
@@ -82,7 +82,7 @@
         });
     }
 
-    /// Waits for reads to tell of.
+    /// Waits for announcements to send.
     pub async fn next(&self) -> Vec<LongPrefill> {
         self.0.next().await
     }
@@ -93,7 +93,7 @@
 }
 
 impl BoxLoad {
-    /// Collects what a box has under way.
+    /// Collects what a box has in flight.
     pub fn collect(reporter: &str, knowledge: &Knowledge) -> Self {
         let busy = knowledge
             .upstreams()
@@ -111,25 +111,25 @@
         }
     }
 
-    /// Tells whether nothing is under way.
+    /// Returns whether nothing is in flight.
     pub fn is_idle(&self) -> bool {
         self.upstreams.is_empty()
     }
 }
 
-/// The newest reports of the other boxes.
+/// The latest reports of the other boxes.
 #[derive(Debug, Default)]
 pub struct PeerLoads {
     reports: HashMap<u64, (BoxLoad, Duration)>,
 }
 
 impl PeerLoads {
-    /// Takes a box's report in place of its last one.
+    /// Replaces a box's previous report.
     pub fn set_report(&mut self, load: BoxLoad, now: Now) {
         self.reports.insert(load.reporter, (load, now.monotonic));
     }
 
-    /// Takes the news of a long read, until the reader's next report replaces it.
+    /// Adds a long prefill announced by another box; the box's next report replaces it.
     pub fn add_long_prefill(&mut self, long_prefill: LongPrefill, knowledge: &Knowledge, now: Now) {
         let upstream = UpstreamReport {
             upstream: long_prefill.upstream,
@@ -145,7 +145,8 @@
         }
     }
 
-    /// Forgets old reports and tells each upstream what the others have under way there.
+    /// Drops expired reports and updates each upstream with what the other boxes have in flight
+    /// there.
     pub fn apply_to_upstreams(&mut self, knowledge: &Knowledge, now: Now) {
         let lifetime = report_interval(self.reports.len()) * REPORT_LIFETIME_INTERVALS;
         self.reports
--- a/src/gateway/place/prefill_rate.rs
+++ b/src/gateway/place/prefill_rate.rs
@@ -1,36 +1,39 @@
-//! How fast engines read the prompts of each model, learned from the first events of answers.
+//! Prefill rates: how fast engines process the prompts of each model, learned from the times to
+//! first events.
 //!
-//! Everything that waits at an engine is counted in the time that reading it takes, so that
-//! prompts of small and large models can be added up. See `docs/design/platform.md`.
+//! All load that waits at an engine is measured in prefill time, so that prompts of small and large
+//! models can be added up. See `docs/design/platform.md`.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Tokens that an engine reads in a millisecond for the dearest model, until it has shown.
+/// Prefill rate assumed for the most expensive model until it is measured, in tokens per
+/// millisecond.
 const DEFAULT_RATE_TOKENS_PER_MS: f64 = 18.0;
-/// The bounds of what is believed of a rate, in tokens a millisecond.
+/// Lower and upper bound of an estimated rate, in tokens per millisecond.
 const RATE_BOUNDS_TOKENS_PER_MS: (f64, f64) = (2.0, 400.0);
-/// How far the first measurement moves a rate, as a part of it; the next ones move it less.
+/// Step of the first measurement, as a fraction of the rate; later steps are smaller.
 const INITIAL_STEP_FRACTION: f64 = 0.25;
-/// The least that a measurement moves a rate, so that it follows engines that change.
+/// Minimum step of a measurement, as a fraction of the rate, so that the estimate follows engines
+/// whose speed changes.
 const MIN_STEP_FRACTION: f64 = 0.03;
-/// The fewest tokens that tell something of a rate; the first events of shorter prompts are
-/// dominated by the way there and by the engine's steps.
+/// Minimum number of tokens for a measurement: the first events of shorter prompts are dominated by
+/// network latency and the engine's scheduling steps.
 const MIN_MEASURED_TOKENS: f64 = 1500.0;
-/// The time to the first event that does not depend on the tokens: the way there and a
-/// step or two of the engine.
+/// The part of the time to the first event that does not depend on the number of tokens: network
+/// latency and one or two scheduling steps of the engine.
 pub const FIRST_EVENT_OVERHEAD: Duration = Duration::from_millis(25);
 
-/// The rates of a box's models.
+/// The estimated prefill rates of the models, as one box measured them.
 ///
-/// Prices alone say little of them: a model at a fifteenth of the price may read six times as fast.
+/// Prices alone are a poor estimate: a model at a fifteenth of the price may be six times as fast.
 #[derive(Debug, Default)]
 pub struct PrefillRates {
     by_model: RefCell<HashMap<String, Rate>>,
 }
 
-/// The rate of one model.
+/// The estimated prefill rate of one model.
 #[derive(Debug, Clone, Copy)]
 struct Rate {
     tokens_per_ms: f64,
@@ -38,9 +41,9 @@
 }
 
 impl Rate {
-    /// Returns what is believed before anything was measured: that time goes by price.
+    /// Returns the rate assumed before any measurement: inversely proportional to the price.
     ///
-    /// `price_part` is the model's price as a part of the dearest one's.
+    /// `price_part` is the model's price as a fraction of the most expensive model's.
     fn from_price(price_part: f64) -> Self {
         let rate = DEFAULT_RATE_TOKENS_PER_MS / price_part.max(f64::MIN_POSITIVE);
         Self {
@@ -49,9 +52,9 @@
         }
     }
 
-    /// Moves a step towards a measurement, however far away that is, so that the rate
-    /// settles at the median: a prompt that had to wait, or that the engine had kept after
-    /// all, says nothing of the rate, and may be wrong by any factor.
+    /// Moves the rate one step towards a measurement, regardless of the distance, so that it
+    /// settles at the median. Prompts that were queued, or that the engine had cached after all,
+    /// say nothing about the rate and may be wrong by any factor.
     fn record(&mut self, measured: f64) {
         let step =
             (INITIAL_STEP_FRACTION * 2.0 / f64::from(self.measurements + 2)).max(MIN_STEP_FRACTION);
@@ -65,18 +68,19 @@
     }
 }
 
-/// A model, as far as the time of its reads goes.
+/// Identifies a model whose prefill time is estimated.
 #[derive(Debug, Clone, Copy)]
 pub struct PrefillModel<'a> {
     /// The model's name.
     pub name: &'a str,
-    /// Its price as a part of the dearest model's, which stands in for what is not yet
+    /// Its price as a fraction of the most expensive model's, which determines the rate until it is
     /// measured.
     pub price_part: f64,
 }
 
 impl PrefillRates {
-    /// Learns from a first event for which an engine read so many tokens and nothing else.
+    /// Learns from the first event of an answer for which an engine computed this many tokens and
+    /// nothing else.
     pub fn record(&self, model: PrefillModel<'_>, tokens: f64, took: Duration) {
         if tokens < MIN_MEASURED_TOKENS {
             return;
@@ -89,7 +93,7 @@
         rate.record(tokens / millis.max(1.0));
     }
 
-    /// Returns how long an engine reads so many tokens for a model.
+    /// Returns the estimated time to prefill this many tokens.
     pub fn prefill_time(&self, model: PrefillModel<'_>, tokens: f64) -> Duration {
         let rates = self.by_model.borrow();
         let known = rates.get(model.name).copied();
--- a/src/gateway/place/warm_up.rs
+++ b/src/gateway/place/warm_up.rs
@@ -1,55 +1,55 @@
-//! How many requests go to an upstream that is warming up.
+//! Limits the requests to an upstream that is warming up.
 //!
-//! An upstream that has just started bears a few requests a second and falls over under more,
-//! and to each box it looks like the emptiest one. So all boxes together send it no more than it
-//! bears, without a message between them: a few boxes take turns, and every box works out alike
-//! by hashing which ones they are.
-//! See `docs/design/shifted-work.md`.
+//! An upstream that has just started can handle only a few requests a second and fails under more,
+//! yet every box sees it as the least loaded one. All boxes together therefore stay under its
+//! limit, without exchanging messages: only a few boxes send, and every box determines by the same
+//! hash which ones they are. See `docs/design/shifted-work.md`.
 
 use crate::clock::Now;
 use std::net::SocketAddr;
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// What upstreams of a service bear after a start.
+/// Limits for the upstreams of a service while they warm up.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WarmUp {
-    /// How long an upstream warms up that does not say how long.
+    /// Warm-up time of an upstream that does not announce one.
     pub duration: Duration,
-    /// The requests a second that it bears meanwhile, from all boxes together.
+    /// Number of requests per second that an upstream can handle during warm-up, from all boxes
+    /// together.
     pub requests_per_second: f64,
 }
 
-/// The part of what an upstream bears that the boxes use: they may disagree for a while on how
-/// many of them there are.
+/// Fraction of the rate limit that the boxes use, since they may disagree for a while on how many
+/// boxes there are.
 const USED_RATE_FRACTION: f64 = 0.8;
-/// How long after its start a box sends nothing to upstreams that warm up: boxes that start
-/// together do not know of each other yet, and each would take all turns for its own.
+/// How long after its start a box sends nothing to upstreams that warm up. Boxes that start
+/// together do not know of each other yet, and each would use the whole rate limit.
 const STARTUP_HOLD: Duration = Duration::from_secs(2);
-/// How long a box goes by the turns that it has worked out.
+/// How long a box uses a computed schedule before it computes it again.
 const SCHEDULE_LIFETIME: Duration = Duration::from_millis(250);
 
-/// A box among others, as all turns depend on it.
+/// What a box knows of the fleet, which determines its schedule.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetView<'a> {
-    /// The box's own address.
+    /// This box's own address.
     pub own_address: SocketAddr,
     /// The addresses of the registered boxes, in any order.
     pub box_addresses: &'a [SocketAddr],
-    /// How long the box has been up.
+    /// How long this box has been up.
     pub uptime: Duration,
 }
 
-/// The turns of one box at one upstream.
+/// When one box may send to one upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct SendSchedule {
-    /// The shortest time between two requests; none if the box has no turn.
+    /// Minimum time between two requests; `None` if the box may not send any.
     interval: Option<Duration>,
-    /// When this was worked out.
+    /// When the schedule was computed.
     computed_at: Duration,
 }
 
-/// How an upstream warms up, as one box sees it.
+/// The warm-up of an upstream, as one box sees it.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct WarmUpState {
     until: Option<Duration>,
@@ -58,25 +58,25 @@
 }
 
 impl WarmUpState {
-    /// Records that the upstream warms up for so long from now on. What is known to last longer
-    /// lasts: an entry may be older than what made the upstream cold.
+    /// Records that the upstream needs this long to warm up from now on. A longer known warm-up is
+    /// not shortened: the upstream's entry may be older than the event that caused the warm-up.
     pub fn begin(&mut self, duration: Duration, now: Now) {
         self.until = self.until.max(Some(now.monotonic + duration));
     }
 
-    /// Returns how much longer the upstream warms up; zero once it is warm.
+    /// Returns how much longer the warm-up lasts; zero once the upstream is warm.
     pub fn remaining(self, now: Now) -> Duration {
         let until = self.until.unwrap_or_default();
         until.saturating_sub(now.monotonic)
     }
 
-    /// Tells whether the upstream warms up.
+    /// Returns whether the upstream is warming up.
     pub fn is_active(self, now: Now) -> bool {
         !self.remaining(now).is_zero()
     }
 
-    /// Returns how long the box has to wait before it may send the upstream a request; none if it
-    /// may now.
+    /// Returns how long the box has to wait before it may send a request to the upstream; `None` if
+    /// it may send now.
     pub fn send_delay(
         &mut self,
         upstream: u32,
@@ -99,7 +99,7 @@
         (!delay.is_zero()).then_some(delay.min(warm_up_left))
     }
 
-    /// Records that a request goes out.
+    /// Records that a request is sent.
     pub fn record_send(&mut self, now: Now) {
         if self.is_active(now) {
             self.last_sent_at = Some(now.monotonic);
@@ -113,11 +113,11 @@
         fleet: FleetView<'_>,
         now: Now,
     ) -> Option<Duration> {
-        let is_young =
+        let is_fresh =
             |schedule: &SendSchedule| now.monotonic - schedule.computed_at < SCHEDULE_LIFETIME;
         let schedule = self
             .schedule
-            .filter(is_young)
+            .filter(is_fresh)
             .unwrap_or_else(|| SendSchedule {
                 interval: send_interval(upstream, warm_up, fleet),
                 computed_at: now.monotonic,
@@ -127,11 +127,12 @@
     }
 }
 
-/// Returns the shortest time between two requests of a box to an upstream that warms up; none if
-/// the box is not among those that send it any.
+/// Returns the minimum time between two requests of a box to an upstream that warms up; `None` if
+/// the box is not among the senders.
 ///
-/// As many boxes send as the upstream bears requests a second, so that each has a turn in a little
-/// over a second: with more boxes and longer times, more turns might come together.
+/// The number of senders is the number of requests per second that the upstream can handle, so that
+/// each sends about once a second. With more senders and longer intervals, more requests could
+/// coincide.
 fn send_interval(upstream: u32, warm_up: WarmUp, fleet: FleetView<'_>) -> Option<Duration> {
     let rate = warm_up.requests_per_second * USED_RATE_FRACTION;
     let weight = |address: &SocketAddr| {
