--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at one upstream, and what is known of that upstream.
+//! A single try of a request at an upstream, and the state kept for each upstream.
 
 pub mod connect;
 pub mod crash_detection;
--- a/src/gateway/attempt/connect.rs
+++ b/src/gateway/attempt/connect.rs
@@ -1,9 +1,9 @@
-//! Connections to upstreams, each with its own state.
+//! Connections to upstreams, with access to the state of each.
 //!
-//! The house's client keeps its connections to itself, and the rules here need to know
-//! one connection: whether a byte was written, whether the answer was whole, whether
-//! more came behind it. So this uses `hyper`'s connection-level client, the nearest kin.
-//! See `docs/design/platform.md`.
+//! The client in `crate::http_client` hides its connections, but the rules here depend on a single
+//! connection: whether a byte was written, whether the answer was complete, and whether data
+//! followed it. This module therefore uses `hyper`'s connection-level client. See
+//! `docs/design/platform.md`.
 
 use super::upstream::Upstream;
 use crate::clock::Now;
@@ -22,19 +22,17 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// The longest wait for a connection. The way there and back takes a few milliseconds;
-/// a lost opening packet is sent again only after a second, when another upstream has
-/// long answered.
+/// Maximum time to open a connection. A round trip takes a few milliseconds; a lost SYN packet is
+/// sent again only after a second, by when another upstream has long answered.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// How long a probe waits before it tries a second connection: several times the way there
-/// and back.
+/// Delay before a probe opens a second connection: several round trips.
 const SECOND_PROBE_DELAY: Duration = Duration::from_millis(50);
-/// How long written bytes may stay unacknowledged before the connection counts as dead.
+/// How long written data may stay unacknowledged before the connection counts as dead.
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a connection may rest and still be used again. Upstreams drop resting
-/// connections early at times; a second is well below the seconds that they announce.
+/// How long an idle connection may be reused. Upstreams sometimes close idle connections early; one
+/// second is well below the several seconds that they announce.
 const IDLE_LIFETIME: Duration = Duration::from_secs(1);
-/// Resting connections kept for one upstream.
+/// Maximum number of idle connections kept for one upstream.
 const MAX_IDLE_PER_UPSTREAM: usize = 4;
 
 /// One open connection to an upstream.
@@ -47,12 +45,12 @@
 }
 
 impl Connection {
-    /// Tells whether an earlier request went over this connection.
+    /// Returns whether an earlier request was sent over this connection.
     pub fn is_reused(&self) -> bool {
         self.reused
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the answer.
     pub async fn send(
         &mut self,
         req: http1_types::Request<Full<Bytes>>,
@@ -63,27 +61,27 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        // The upstream stops working on a request when its connection closes, so the
-        // connection has to close now and not when its task gets round to it.
+        // The upstream stops working on a request when its connection closes, so close it now
+        // rather than when its task is next scheduled.
         self.driver.abort();
     }
 }
 
-/// The types of the newer `http` crate, which `hyper` speaks; the house's server speaks
-/// the older one.
+/// The types of the `http` crate version that `hyper` uses; the HTTP server of this crate uses an
+/// older version.
 pub mod http1_types {
     pub use hyper::http::{HeaderMap, Method, Request, Response};
 }
 
-/// The resting connections of a box, by the life of the upstream and never by address alone,
-/// since an address may pass on to another service and an upstream may start again.
+/// The idle connections of a box. They are keyed by the upstream's incarnation, never by address
+/// alone: an address may be taken over by another service, and an upstream may restart.
 #[derive(Debug, Default)]
 pub struct ConnectionPool {
     idle: RefCell<HashMap<UpstreamLife, Vec<Connection>>>,
 }
 
 impl ConnectionPool {
-    /// Returns a connection that has rested for a short while, if there is one.
+    /// Takes a connection that has been idle only briefly, if there is one.
     pub fn take_idle(&self, life: &UpstreamLife, now: Now) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(life)?;
@@ -97,7 +95,7 @@
         None
     }
 
-    /// Opens a connection.
+    /// Opens a new connection.
     pub async fn open(&self, upstream: &Upstream, now: Now) -> io::Result<Connection> {
         let address = upstream.with_listed(|listed| listed.address);
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
@@ -121,7 +119,7 @@
         })
     }
 
-    /// Keeps a connection whose answer was whole, for the next request.
+    /// Returns a connection to the pool after a complete answer.
     pub fn release(&self, life: &UpstreamLife, mut connection: Connection, now: Now) {
         if connection.sender.is_closed() {
             return;
@@ -134,10 +132,10 @@
         }
     }
 
-    /// Tells whether an upstream takes a connection now, and remembers it.
+    /// Returns whether an upstream accepts connections now, and records the result.
     ///
-    /// A second connection is tried soon, so that one lost packet does not make an upstream
-    /// look dead.
+    /// A second connection is opened after a short delay, so that one lost packet does not make an
+    /// upstream look dead.
     pub async fn probe(&self, upstream: &Upstream) -> bool {
         let now = Now::read();
         let second = async {
@@ -153,14 +151,14 @@
                 true
             }
             Err(err) => {
-                log::debug!("a probe found no upstream: {err}");
+                log::debug!("probe could not connect to the upstream: {err}");
                 upstream.record_connect_failure(Now::read());
                 false
             }
         }
     }
 
-    /// Closes connections that have rested too long.
+    /// Closes connections that have been idle for too long.
     pub fn close_stale(&self, now: Now) {
         let mut idle = self.idle.borrow_mut();
         for connections in idle.values_mut() {
@@ -174,10 +172,10 @@
 
 fn set_socket_options(stream: &TcpStream, address: SocketAddr) {
     if let Err(err) = stream.set_nodelay(true) {
-        log::debug!("small packets to {address} may wait for others: {err}");
+        log::debug!("cannot set TCP_NODELAY on the connection to {address}: {err}");
     }
     let socket = socket2::SockRef::from(stream);
     if let Err(err) = socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT)) {
-        log::debug!("a dead connection to {address} may be noticed late: {err}");
+        log::debug!("cannot set TCP_USER_TIMEOUT on the connection to {address}: {err}");
     }
 }
--- a/src/gateway/attempt/crash_detection.rs
+++ b/src/gateway/attempt/crash_detection.rs
@@ -1,8 +1,8 @@
-//! Finds out whether an upstream crashed when runs at it broke off.
+//! Detects whether an upstream crashed when runs at it were interrupted.
 //!
-//! A broken connection alone does not tell: connections are reset, and halls are cut off. Where
-//! an upstream's address refuses a connection right after, its process is gone, and whatever ran
-//! there may be why.
+//! A broken connection alone is no proof: connections get reset, and halls get cut off from the
+//! network. If the upstream's address refuses a new connection right afterwards, its process is
+//! gone, and any of the requests that ran there may be the cause.
 
 use super::upstream::Upstream;
 use crate::clock::Now;
@@ -17,21 +17,21 @@
 use tokio::sync::Notify;
 use tokio::time::sleep;
 
-/// How long after a run broke off its upstream is asked for a connection: a process that ends
+/// Delay between an interrupted run and the connection check of its upstream: a process that ends
 /// closes its connections and its listening socket one after the other.
 const CHECK_DELAY: Duration = Duration::from_millis(15);
-/// How long runs that broke off are kept, to be found at their upstream's crash: the others of
-/// one crash are noticed within the time that a lost reset takes to be sent again.
+/// How long interrupted runs are kept so that they can be attributed to a crash: the other runs of
+/// the same crash are noticed within the time that a lost TCP reset takes to be sent again.
 const INTERRUPTED_RUN_RETENTION: Duration = Duration::from_secs(2);
 
-/// The runs that broke off of late, by the life of their upstream.
+/// The recently interrupted runs, by the incarnation of their upstream.
 #[derive(Debug, Default)]
 pub struct CrashDetector {
     interrupted: RefCell<HashMap<UpstreamLife, InterruptedRuns>>,
     work_added: Notify,
 }
 
-/// The runs of one upstream that broke off.
+/// The interrupted runs at one upstream.
 #[derive(Debug)]
 struct InterruptedRuns {
     upstream: Rc<Upstream>,
@@ -40,23 +40,23 @@
     state: CheckState,
 }
 
-/// A run that broke off.
+/// A run of a request whose connection broke before the answer was complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InterruptedRun {
     /// The request.
     pub request: Fingerprint,
-    /// Its part, should the upstream have crashed.
+    /// Its part in the crash, if the upstream did crash.
     pub part: Part,
 }
 
-/// What the watch has to have done next.
+/// The work that is due: upstreams to check, and crashes to record.
 #[derive(Debug, Default)]
 struct DueWork {
     checks: Vec<Rc<Upstream>>,
     crashes: Vec<(Rc<Upstream>, Vec<InterruptedRun>)>,
 }
 
-/// How the check of an upstream stands.
+/// State of the connection check of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CheckState {
     Due,
@@ -65,7 +65,7 @@
 }
 
 impl CrashDetector {
-    /// Records that a run broke off at an upstream.
+    /// Records an interrupted run.
     fn add(&self, upstream: &Rc<Upstream>, run: InterruptedRun, now: Now) {
         let mut interrupted = self.interrupted.borrow_mut();
         interrupted.retain(|_, known| {
@@ -83,7 +83,8 @@
         self.work_added.notify_one();
     }
 
-    /// Takes the upstreams whose check is due, and the runs of those that are known to be gone.
+    /// Takes the upstreams whose check is due, and the runs at upstreams that are known to have
+    /// crashed.
     fn take_due(&self) -> DueWork {
         let mut due = DueWork::default();
         for known in self.interrupted.borrow_mut().values_mut() {
@@ -102,7 +103,7 @@
         due
     }
 
-    /// Records what a check found; returns the runs of an upstream that has not crashed.
+    /// Records the result of a check; returns the runs of the upstream if it has not crashed.
     fn finish_check(&self, life: &UpstreamLife, found: AfterBreak) -> Vec<InterruptedRun> {
         let mut interrupted = self.interrupted.borrow_mut();
         match found {
@@ -121,13 +122,13 @@
 }
 
 impl Gateway {
-    /// Records that a run broke off, and has its upstream checked for a crash.
+    /// Records that a run was interrupted, and schedules a crash check of its upstream.
     pub fn record_interrupted_run(&self, run: InterruptedRun, upstream: &Rc<Upstream>, now: Now) {
         self.crashes.add(upstream, run, now);
     }
 
-    /// Records what ran at an upstream when it crashed. One that was about to leave ended as
-    /// planned, whatever ran there.
+    /// Records the requests that ran at an upstream when it crashed. An upstream that was about to
+    /// leave has ended as planned, whatever ran there.
     fn record_crash(&self, upstream: &Upstream, runs: &[InterruptedRun], now: Now) {
         if !self.knowledge.borrow().is_serving(upstream.life()) {
             return;
@@ -141,7 +142,7 @@
     }
 }
 
-/// Checks upstreams where runs broke off, for as long as the process lives.
+/// Checks upstreams with interrupted runs for crashes; runs for the lifetime of the process.
 pub async fn check_interrupted_upstreams(gw: Rc<Gateway>) {
     loop {
         gw.crashes.work_added.notified().await;
--- a/src/gateway/attempt/exchange.rs
+++ b/src/gateway/attempt/exchange.rs
@@ -1,8 +1,7 @@
-//! One try of one request at one upstream, and what its outcome proves.
+//! A single try of a request at one upstream, and what its outcome proves.
 //!
-//! Only here is it decided whether a try may have run: [`Tried::NotRun`] is made from an
-//! upstream's own statement or from the proof that no byte was written, and nowhere
-//! else. See `docs/design/platform.md`.
+//! Only this module decides whether a request may have run: [`TryOutcome::NotRun`] requires the
+//! upstream's own statement or the proof that no byte was written. See `docs/design/platform.md`.
 
 use super::connect::{Connection, ConnectionPool, http1_types};
 use super::headers::{HeaderNames, parse_load};
@@ -21,14 +20,14 @@
 
 const STATUS_MISDIRECTED_REQUEST: u16 = 421;
 
-/// A request as one upstream is to get it.
+/// A request as it is sent to one upstream.
 #[derive(Debug)]
 pub struct UpstreamRequest {
     /// The method.
     pub method: http1_types::Method,
-    /// The path with its query, as the caller sent it.
+    /// The path with the query, as the caller sent it.
     pub target: String,
-    /// All headers, those that the router sets included.
+    /// All headers, including those set by the router.
     pub headers: http1_types::HeaderMap,
     /// The whole body.
     pub body: Bytes,
@@ -36,12 +35,12 @@
     pub request_id: String,
 }
 
-/// What came of a try.
+/// The outcome of a try.
 #[derive(Debug)]
 pub enum TryOutcome {
-    /// The upstream's answer begins.
+    /// The head of the answer has arrived.
     Answered(Box<Answer>),
-    /// The request did not run at this upstream and will not.
+    /// The request did not run at this upstream and will not run there.
     NotRun(NotRunReason),
     /// The request may have run.
     Unknown(UnknownReason),
@@ -50,25 +49,25 @@
 /// Why a request certainly did not run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NotRunReason {
-    /// No connection came about, so no byte was written.
+    /// No connection could be opened, so no byte was written.
     NoConnection(String),
-    /// The upstream said to another request that it wants no more, or operators evacuated its hall,
-    /// before a byte was written.
+    /// Before a byte was written, the upstream announced in an answer to another request that it
+    /// takes no more, or operators evacuated its hall.
     Unavailable,
-    /// The upstream said that it did not run the request.
+    /// The upstream stated that it did not run the request.
     Refused(u16),
     /// Another instance has the address.
     OtherInstance,
 }
 
-/// Why it is not known whether a request ran.
+/// Why it is unknown whether a request ran.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum UnknownReason {
     /// The connection broke.
     ConnectionBroken(String),
-    /// The answer belongs to another request or is none of the upstream's.
+    /// The answer belongs to another request or does not come from the upstream.
     MismatchedAnswer(&'static str),
-    /// Nothing came in time.
+    /// No answer arrived in time.
     TimedOut,
 }
 
@@ -76,7 +75,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NoConnection(reason) => write!(f, "no connection: {reason}"),
-            Self::Unavailable => f.write_str("it wants no more requests"),
+            Self::Unavailable => f.write_str("the upstream takes no requests now"),
             Self::Refused(status) => write!(f, "refused with {status}"),
             Self::OtherInstance => f.write_str("another instance has the address"),
         }
@@ -87,22 +86,22 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::ConnectionBroken(reason) => write!(f, "the connection broke: {reason}"),
-            Self::MismatchedAnswer(reason) => write!(f, "not this request's answer: {reason}"),
-            Self::TimedOut => f.write_str("nothing came in time"),
+            Self::MismatchedAnswer(reason) => write!(f, "mismatched answer: {reason}"),
+            Self::TimedOut => f.write_str("timed out waiting for the upstream"),
         }
     }
 }
 
-/// An upstream's answer, whose body is still to be read.
+/// An upstream's answer whose body has still to be read.
 #[derive(Debug)]
 pub struct Answer {
     /// The status.
     pub status: u16,
     /// The headers.
     pub headers: http1_types::HeaderMap,
-    /// When the request went out.
+    /// When the try began.
     pub sent_at: Duration,
-    /// Whether the time to the first event tells how fast the upstream reads.
+    /// Whether the time to the first event measures the prefill rate of the upstream.
     pub measures_prefill_rate: bool,
     body: Incoming,
     connection: Option<Connection>,
@@ -111,19 +110,19 @@
     _load: LoadGuard,
 }
 
-/// The next piece of a body.
+/// The next chunk of a body.
 #[derive(Debug)]
 pub enum BodyChunk {
-    /// Some bytes.
+    /// Data.
     Bytes(Bytes),
-    /// The body is whole.
+    /// The body is complete.
     End,
-    /// The body broke off.
+    /// The body ended early.
     Broken(String),
 }
 
 impl Answer {
-    /// Reads the next piece of the body; none if patience ran out.
+    /// Reads the next chunk of the body; `None` on a timeout.
     pub async fn next_chunk_within(
         &mut self,
         connections: &ConnectionPool,
@@ -133,7 +132,7 @@
         with_response_timeout(connections, &upstream, timeout, self.next_chunk()).await
     }
 
-    /// Reads the next piece of the body.
+    /// Reads the next chunk of the body.
     pub async fn next_chunk(&mut self) -> BodyChunk {
         loop {
             let frame = self.body.frame().await;
@@ -149,7 +148,7 @@
         }
     }
 
-    /// Reads the whole body, or says why it is not whole.
+    /// Reads the whole body, or returns why it is incomplete.
     pub async fn read_whole(&mut self, limit: usize) -> Result<Bytes, String> {
         let mut whole = bytes::BytesMut::new();
         loop {
@@ -164,17 +163,17 @@
         }
     }
 
-    /// Records that the first event came, so that the prompt has been read.
+    /// Records that the first event arrived, so that the prefill is over.
     pub fn finish_prefill(&mut self) {
         self.pending_prefill = None;
     }
 
-    /// Returns the upstream that answers.
+    /// Returns the upstream that sent the answer.
     pub fn upstream(&self) -> &Rc<Upstream> {
         &self.upstream
     }
 
-    /// Gives the connection back after a whole body, unless the upstream closes it.
+    /// Returns the connection to the pool after a complete body, unless the upstream closes it.
     pub fn finish(mut self, connections: &ConnectionPool, now: Now) {
         self.upstream.record_success(now);
         let closes = self
@@ -189,27 +188,27 @@
     }
 }
 
-/// How a try is made.
+/// Options of a try.
 #[derive(Debug, Clone, Copy)]
 pub struct TryOptions {
     /// How long to wait for the head of the answer.
     pub head_timeout: ResponseTimeout,
-    /// How long the upstream reads the prompt.
+    /// Expected time of the request's prefill.
     pub prefill: Duration,
-    /// Whether the upstream reads the prompt whole and has nothing else to read, as far as
-    /// is known, so that the time to the first event tells how fast it reads.
+    /// Whether the upstream computes the whole prompt and, as far as is known, nothing else, so
+    /// that the time to the first event measures its prefill rate.
     pub measures_prefill_rate: bool,
-    /// Whether a connection that was used before may be used; one may close just as the
-    /// request is written, which leaves open whether it ran.
+    /// Whether an idle connection may be reused. The upstream may close it just as the request is
+    /// written, and then it is unknown whether the request ran.
     pub may_reuse_connection: bool,
 }
 
-/// Makes one try at one upstream.
+/// Sends a request to one upstream and waits for the head of the answer.
 pub async fn try_upstream(
     connections: &ConnectionPool,
     headers: &HeaderNames,
     upstream: &Rc<Upstream>,
-    out: UpstreamRequest,
+    request: UpstreamRequest,
     options: TryOptions,
 ) -> TryOutcome {
     let load = upstream.begin_request();
@@ -233,12 +232,12 @@
     if !takes_requests || upstream.is_in_retry_after(Now::read()) {
         return TryOutcome::NotRun(NotRunReason::Unavailable);
     }
-    let request_id = out.request_id.clone();
-    let req = match build_request(out) {
+    let request_id = request.request_id.clone();
+    let req = match build_request(request) {
         Ok(req) => req,
         Err(reason) => return TryOutcome::NotRun(NotRunReason::NoConnection(reason)),
     };
-    let sent = with_response_timeout(
+    let answered = with_response_timeout(
         connections,
         upstream,
         options.head_timeout,
@@ -246,7 +245,7 @@
     )
     .await;
     let now = Now::read();
-    let res = match sent {
+    let res = match answered {
         Some(Ok(res)) => res,
         Some(Err(err)) => {
             if !connection.is_reused() {
@@ -258,34 +257,36 @@
     };
     upstream.record_data_received(now);
     let (parts, body) = res.into_parts();
-    let text = |name: &http::HeaderName| {
+    let header_text = |name: &http::HeaderName| {
         parts
             .headers
             .get(name.as_str())
             .and_then(|value| value.to_str().ok())
     };
-    if let Some(load) = text(&headers.load).and_then(parse_load) {
+    if let Some(load) = header_text(&headers.load).and_then(parse_load) {
         upstream.record_load_report(load, now);
     }
-    let echoed = text(&headers.request_id);
-    if echoed.is_some_and(|echoed| echoed != request_id) {
+    let echoed_id = header_text(&headers.request_id);
+    if echoed_id.is_some_and(|echoed_id| echoed_id != request_id) {
         upstream.record_failure(now);
-        return TryOutcome::Unknown(UnknownReason::MismatchedAnswer("it names another request"));
+        return TryOutcome::Unknown(UnknownReason::MismatchedAnswer(
+            "it has the id of another request",
+        ));
     }
     let status = parts.status.as_u16();
-    // Another instance speaks for itself.
+    // The headers of another instance say nothing about this upstream.
     if status == STATUS_MISDIRECTED_REQUEST {
         return TryOutcome::NotRun(NotRunReason::OtherInstance);
     }
     let signs = SignHeaders {
-        leaving: text(&headers.leaving),
-        retry_after: text(&RETRY_AFTER),
+        leaving: header_text(&headers.leaving),
+        retry_after: header_text(&RETRY_AFTER),
     };
-    upstream.apply_head_signs(Signs::read(status, signs, now.wall), now);
-    if text(&headers.not_executed).is_some() {
+    upstream.update_from_head(Signs::read(status, signs, now.wall), now);
+    if header_text(&headers.not_executed).is_some() {
         return TryOutcome::NotRun(NotRunReason::Refused(status));
     }
-    if let Some(reason) = mismatch_reason(&parts.headers, headers, parts.status, echoed) {
+    if let Some(reason) = mismatch_reason(&parts.headers, headers, parts.status, echoed_id) {
         upstream.record_failure(now);
         return TryOutcome::Unknown(UnknownReason::MismatchedAnswer(reason));
     }
@@ -302,31 +303,31 @@
     }))
 }
 
-/// Says what shows that an answer is not the upstream's answer to this request.
+/// Returns why an answer cannot be this upstream's answer to this request, if it cannot.
 fn mismatch_reason(
-    found: &http1_types::HeaderMap,
+    received: &http1_types::HeaderMap,
     names: &HeaderNames,
     status: hyper::StatusCode,
-    echoed: Option<&str>,
+    echoed_id: Option<&str>,
 ) -> Option<&'static str> {
-    if found.contains_key(hyper::header::CONTENT_ENCODING) {
-        return Some("its body is encoded, and nobody asked for that");
+    if received.contains_key(hyper::header::CONTENT_ENCODING) {
+        return Some("its body has a content encoding that was not requested");
     }
-    let signed = found.contains_key(names.signature.as_str());
-    match (status.is_success(), signed, echoed.is_some()) {
+    let is_signed = received.contains_key(names.signature.as_str());
+    match (status.is_success(), is_signed, echoed_id.is_some()) {
         (true, false, _) => Some("it has no signature"),
-        (true, true, false) => Some("it names no request"),
-        (false, false, false) => Some("it has neither a signature nor the request's id"),
+        (true, true, false) => Some("it has no request id"),
+        (false, false, false) => Some("it has neither a signature nor a request id"),
         _ => None,
     }
 }
 
-fn build_request(out: UpstreamRequest) -> Result<http1_types::Request<Full<Bytes>>, String> {
+fn build_request(request: UpstreamRequest) -> Result<http1_types::Request<Full<Bytes>>, String> {
     let mut req = http1_types::Request::builder()
-        .method(out.method)
-        .uri(out.target)
-        .body(Full::new(out.body))
-        .map_err(|err| format!("the request cannot be written: {err}"))?;
-    *req.headers_mut() = out.headers;
+        .method(request.method)
+        .uri(request.target)
+        .body(Full::new(request.body))
+        .map_err(|err| format!("the request cannot be encoded: {err}"))?;
+    *req.headers_mut() = request.headers;
     Ok(req)
 }
--- a/src/gateway/attempt/headers.rs
+++ b/src/gateway/attempt/headers.rs
@@ -1,7 +1,7 @@
-//! The headers that callers, upstreams and the router exchange.
+//! Headers exchanged between callers, the router and upstreams.
 //!
-//! The names differ from deployment to deployment, so an adapter gives them; the rest
-//! of the gateway speaks of meanings only. See `docs/design/platform.md`.
+//! Their names differ between deployments and are provided by an adapter; the rest of the gateway
+//! refers to their meaning only. See `docs/design/platform.md`.
 
 use http::HeaderName;
 use std::time::Duration;
@@ -11,21 +11,21 @@
 pub struct HeaderNames {
     /// The caller's id of one attempt; upstreams echo it.
     pub request_id: HeaderName,
-    /// The milliseconds that the sender will still wait.
+    /// How many milliseconds the sender is still going to wait.
     pub deadline: HeaderName,
-    /// The caller's key.
+    /// The caller's API key.
     pub key: HeaderName,
-    /// The organisation, as the router tells it to upstreams.
+    /// The organisation of the caller, as the router reports it to upstreams.
     pub organisation: HeaderName,
-    /// The instance that a request is meant for.
+    /// The upstream instance that a request is meant for.
     pub expect_instance: HeaderName,
     /// The upstream's statement that it did not run the request.
     pub not_executed: HeaderName,
     /// The upstream's signature of an answer.
     pub signature: HeaderName,
-    /// The upstream's statement that it takes no more work and will end.
+    /// The upstream's announcement that it takes no more requests and is going to end.
     pub leaving: HeaderName,
-    /// The upstream's running and waiting requests and its slots.
+    /// The number of running and waiting requests and of slots of the upstream.
     pub load: HeaderName,
     /// The model that is to answer.
     pub model: HeaderName,
@@ -33,35 +33,35 @@
     pub prompt_parts: HeaderName,
     /// The session that a request belongs to.
     pub session: HeaderName,
-    /// The urgency for the engine's queue.
+    /// The urgency in the engine's queue.
     pub urgency: HeaderName,
-    /// The engine from which an engine is to fetch what that one keeps of the prompt.
+    /// The address of the engine from which to fetch the cached prefix of the prompt.
     pub fetch_from: HeaderName,
-    /// The engine's own opinion of its answer, from 0 to 100.
+    /// The model's confidence in its answer, from 0 to 100.
     pub confidence: HeaderName,
-    /// The last event that the receiver of a stream has.
+    /// The last event that the receiver of a stream has received.
     pub last_event_id: HeaderName,
-    /// Headers that only the router may set; what callers sent in them is dropped.
+    /// Headers that only the router may set; values sent by callers are dropped.
     pub reserved: Vec<HeaderName>,
 }
 
-/// The value of the model header by which callers leave the choice to the router.
+/// Value of the model header with which callers leave the choice to the router.
 pub const ANY_MODEL: &str = "*";
 
 /// The least urgent value of the urgency header.
 const LOWEST_URGENCY: u8 = 9;
-/// How many ranks of routes lie between two ranks of organisations.
+/// Number of route ranks within one rank of organisations.
 const ROUTE_RANKS_PER_ORGANISATION: u8 = 3;
 
-/// The longest read that does not make a request less urgent; each doubling of it counts a
-/// step.
+/// The longest prefill that does not make a request less urgent; each doubling lowers its urgency
+/// by one step.
 const SHORT_PREFILL: Duration = Duration::from_millis(16);
 
-/// Returns the urgency of a request, 0 the highest.
+/// Returns the urgency of a request, where 0 is the most urgent.
 ///
-/// The organisation's rank goes first, then the route's. Of equal ones the shortest read goes
-/// first: a prompt of the small model takes tens of milliseconds, and would wait for a second
-/// behind one of the large model.
+/// Requests are ordered by the organisation's rank, then by the route's, then by prefill time,
+/// shortest first: a prompt of the small model takes tens of milliseconds, and would wait for a
+/// second behind one of the large model.
 pub fn urgency(organisation: u8, route: u8, prefill: Duration) -> u8 {
     let rank = organisation.saturating_mul(ROUTE_RANKS_PER_ORGANISATION);
     rank.saturating_add(route.min(ROUTE_RANKS_PER_ORGANISATION - 1))
@@ -69,7 +69,7 @@
         .min(LOWEST_URGENCY)
 }
 
-/// Returns how many times [`SHORT_READ`] has to be doubled to take as long as a read.
+/// Returns how many times [`SHORT_PREFILL`] has to be doubled to reach a prefill time.
 fn doublings(prefill: Duration) -> u8 {
     let short_prefills = prefill.as_millis() / SHORT_PREFILL.as_millis();
     let doublings = short_prefills.checked_ilog2().unwrap_or(0);
@@ -79,15 +79,15 @@
 /// One part of a prompt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PromptPart {
-    /// The part's id; requests that share the part name the same id.
+    /// Id of the part; requests that share the part send the same id.
     pub id: String,
-    /// Its tokens.
+    /// Number of tokens.
     pub tokens: u64,
 }
 
-/// Reads the parts of a prompt, written as `id:tokens` and joined by commas.
+/// Parses the parts of a prompt, in the form `id:tokens` and separated by commas.
 ///
-/// Parts that cannot be read are left out: they only guide placement.
+/// Invalid parts are skipped, since parts only guide placement.
 pub fn parse_prompt_parts(text: &str) -> Vec<PromptPart> {
     let part = |text: &str| {
         let (id, tokens) = text.trim().split_once(':')?;
@@ -99,18 +99,18 @@
     text.split(',').filter_map(part).collect()
 }
 
-/// What an upstream says of its load.
+/// The load that an upstream reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ReportedLoad {
-    /// The requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// The requests that wait.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// The requests that can run at a time.
+    /// Number of requests that can run at the same time.
     pub slots: u32,
 }
 
-/// Reads an upstream's load, written as `running,waiting,slots`.
+/// Parses an upstream's load, in the form `running,waiting,slots`.
 pub fn parse_load(text: &str) -> Option<ReportedLoad> {
     let mut numbers = text.split(',').map(|number| number.trim().parse().ok());
     let load = ReportedLoad {
--- a/src/gateway/attempt/probe.rs
+++ b/src/gateway/attempt/probe.rs
@@ -1,7 +1,8 @@
-//! Finds out aside which upstreams take connections, so that no request has to.
+//! Probes in the background which upstreams accept connections, so that no request has to find out.
 //!
-//! When one upstream of a hall takes none, the others of that hall are asked as well: the
-//! hall may be cut off, and each request would else wait for another dead one of it.
+//! If one upstream of a hall accepts no connection, the others of that hall are probed as well: the
+//! hall may be cut off, and otherwise each request would wait for yet another unreachable upstream
+//! there.
 
 use super::upstream::Upstream;
 use crate::clock::Now;
@@ -11,21 +12,21 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often it is looked for upstreams that took no connection.
+/// Time between two scans for upstreams that accepted no connection.
 const SCAN_INTERVAL: Duration = Duration::from_millis(50);
-/// The time between two probes of an upstream that took no connection.
+/// Time between two probes of an upstream that accepted no connection.
 const PROBE_INTERVAL: Duration = Duration::from_millis(400);
-/// The time between two probes of all upstreams of a hall.
+/// Time between two probes of all upstreams of a hall.
 const HALL_PROBE_INTERVAL: Duration = Duration::from_millis(1500);
 
-/// When upstreams and halls were probed last.
+/// The times of the last probes of upstreams and halls.
 #[derive(Debug, Default)]
 struct Probes {
     upstreams: HashMap<String, Duration>,
     halls: HashMap<String, Duration>,
 }
 
-/// Probes upstreams for as long as the process lives.
+/// Probes upstreams; runs for the lifetime of the process.
 pub async fn probe_unreachable_upstreams(gw: Rc<Gateway>) {
     let mut probes = Probes::default();
     loop {
@@ -38,7 +39,7 @@
 }
 
 impl Probes {
-    /// Returns the upstreams that should be probed now.
+    /// Returns the upstreams that are due for a probe.
     fn due(&mut self, gw: &Gateway, now: Now) -> Vec<Rc<Upstream>> {
         let knowledge = gw.knowledge.borrow();
         let unreachable: Vec<&Rc<Upstream>> = knowledge
@@ -69,7 +70,7 @@
     }
 }
 
-/// Tells whether an interval has passed since the last time, and begins the next one.
+/// Returns whether an interval has passed since the last time, and starts the next one if so.
 fn is_due(times: &mut HashMap<String, Duration>, name: &str, interval: Duration, now: Now) -> bool {
     let last = times.get(name);
     let is_due = last.is_none_or(|last| now.monotonic.saturating_sub(*last) >= interval);
--- a/src/gateway/attempt/quarantine.rs
+++ b/src/gateway/attempt/quarantine.rs
@@ -1,6 +1,7 @@
-//! Which requests this box keeps from its upstreams, and what it tells other boxes of them.
+//! Withholds requests that crash their upstreams, and shares what is known of them with other
+//! boxes.
 //!
-//! What is decided stands in [`crate::crash_ledger`]; see `docs/design/quarantine.md`.
+//! The rules are in [`crate::crash_ledger`]; see `docs/design/quarantine.md`.
 
 use crate::clock::Now;
 use crate::crash_ledger::{CrashLedger, CrashRecord, LifeHash, Part, Standing};
@@ -9,32 +10,33 @@
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 
-/// The ledger of a box, and what other boxes have still to be told of it.
+/// A box's crash ledger and the updates for other boxes.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     ledger: RefCell<CrashLedger>,
-    /// What other boxes have still to be told.
+    /// Updates that are still to be sent to other boxes.
     pub outbox: Outbox<QuarantineUpdate>,
 }
 
-/// What boxes tell each other of requests that were at crashes.
+/// What boxes send each other about requests that ran at upstreams when those crashed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuarantineUpdate {
-    /// What is known of some requests.
+    /// The crash records of some requests.
     Records(Vec<CrashRecord>),
-    /// A request is on trial from now on.
+    /// A trial of a request starts: a suspect request is sent once, with no other send of it under
+    /// way.
     TrialBegan(Fingerprint),
-    /// A request's trial ended without telling anything, so that another one may begin.
+    /// A trial of a request ended without a result, so that another one may start.
     TrialEnded(Fingerprint),
 }
 
 impl Quarantine {
-    /// Returns what may be done with a request.
+    /// Returns whether a request may be sent.
     pub fn standing(&self, request: Fingerprint, now: Now) -> Standing {
         self.ledger.borrow().standing(request, now)
     }
 
-    /// Records a request that ran at an upstream when that crashed.
+    /// Records that a request ran at an upstream when that upstream crashed.
     pub fn record_crash(&self, life: LifeHash, request: Fingerprint, part: Part, now: Now) {
         self.change(request, "crash", now, |ledger| {
             let record = ledger.crashed(life, request, part, now);
@@ -42,7 +44,7 @@
         });
     }
 
-    /// Records that a request was answered whole.
+    /// Records that a request was answered completely.
     pub fn record_answer(&self, request: Fingerprint, now: Now) {
         if self.ledger.borrow().is_empty() {
             return;
@@ -53,7 +55,7 @@
         });
     }
 
-    /// Begins a trial of a request here.
+    /// Starts a trial of a request at this box.
     pub fn begin_trial(&self, request: Fingerprint, now: Now) {
         self.change(request, "trial", now, |ledger| {
             ledger.begin_trial(request, now);
@@ -61,7 +63,7 @@
         });
     }
 
-    /// Ends a trial that told nothing: the request ran nowhere, or only its connection was lost.
+    /// Ends a trial without a result: the request ran nowhere, or only its connection was lost.
     pub fn end_trial(&self, request: Fingerprint, now: Now) {
         self.change(request, "trial", now, |ledger| {
             ledger.end_trial(request);
@@ -69,7 +71,7 @@
         });
     }
 
-    /// Takes what another box told.
+    /// Applies an update from another box.
     pub fn apply_peer_update(&self, update: QuarantineUpdate, now: Now) {
         match update {
             QuarantineUpdate::Records(records) => {
@@ -89,12 +91,13 @@
         }
     }
 
-    /// Returns what every box has to know.
+    /// Returns the crash records that every box has to know.
     pub fn records_to_share(&self, now: Now) -> Vec<CrashRecord> {
         self.ledger.borrow().to_tell(now)
     }
 
-    /// Changes the ledger, logs what became of a request by it, and keeps the news to be told.
+    /// Changes the ledger, logs a change of what may be done with the request, and queues the
+    /// update for other boxes.
     fn change(
         &self,
         request: Fingerprint,
--- a/src/gateway/attempt/response_timeout.rs
+++ b/src/gateway/attempt/response_timeout.rs
@@ -1,4 +1,4 @@
-//! How long to wait for an upstream, and when it counts as dead.
+//! Timeouts for an upstream, which depend on whether it still responds to anything.
 
 use super::connect::ConnectionPool;
 use super::upstream::Upstream;
@@ -6,19 +6,19 @@
 use std::pin::Pin;
 use std::time::Duration;
 
-/// How long to wait for an upstream.
+/// How long to wait for data from an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ResponseTimeout {
-    /// How long nothing at all may come from the upstream.
+    /// Maximum time without any data from the upstream, for any request.
     pub upstream_silent: Duration,
-    /// How long nothing may come to this request, while others are answered.
+    /// Maximum time without data for this request, while the upstream answers others.
     pub request_stalled: Duration,
-    /// How long this may take in any case.
+    /// Maximum time in any case.
     pub total: Duration,
 }
 
 impl ResponseTimeout {
-    /// Waits up to `most`, whether anything else comes or not.
+    /// Waits up to `total`, regardless of other data from the upstream.
     pub fn total_only(total: Duration) -> Self {
         Self {
             upstream_silent: Duration::MAX,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Returns the same patience with less time in any case.
+    /// Returns the same timeout with an upper bound on the total time.
     pub fn capped_at(self, total: Duration) -> Self {
         Self {
             total: self.total.min(total),
@@ -36,14 +36,14 @@
     }
 }
 
-/// How often a wait looks whether anything came to other requests.
+/// Interval at which a wait checks whether the upstream has sent data to other requests.
 const POLL_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Waits for something from an upstream; none if patience ran out.
+/// Waits for a future that depends on data from an upstream; returns `None` on a timeout.
 ///
-/// An upstream that answers other requests, or still takes connections, is alive and only
-/// busy, and what it has read would have to be read again elsewhere, so it gets more time
-/// than one that is silent.
+/// An upstream that answers other requests or still accepts connections is alive but busy. It gets
+/// more time than a silent one, since another upstream would have to repeat the prefill that it has
+/// already done.
 pub async fn with_response_timeout<T>(
     connections: &ConnectionPool,
     upstream: &Upstream,
@@ -75,7 +75,8 @@
                     let probed = probe_alongside(connections, upstream, future.as_mut()).await;
                     match probed {
                         ProbeResult::Completed(outcome) => return Some(outcome),
-                        // Each probe costs the upstream a connection.
+                        // Each probe opens a connection to the upstream, so probe less and less
+                        // often.
                         ProbeResult::Alive => silence_limit = silence_limit.saturating_mul(2),
                         ProbeResult::Dead => return None,
                     }
@@ -86,7 +87,7 @@
     }
 }
 
-/// What came first of an outcome and a probe.
+/// Which came first: the result of the future or of the probe.
 enum ProbeResult<T> {
     Completed(T),
     Alive,
--- a/src/gateway/attempt/retries.rs
+++ b/src/gateway/attempt/retries.rs
@@ -1,56 +1,56 @@
-//! The budget of repeats: how many requests may go to a second upstream.
+//! The retry budget: how many requests may be sent to a second upstream.
 //!
-//! The operators bound the repeats of all boxes together by a part of the requests plus
-//! a fixed slack. Each box keeps to the same part of its own requests and to its share of the
-//! slack, so that all boxes together stay under it without talking to each other.
+//! The operators limit the retries of all boxes together to a ratio of the requests plus a fixed
+//! slack. Each box applies the ratio to its own requests and uses its share of the slack, so that
+//! all boxes together stay within the limit without coordination.
 
 use crate::clock::Now;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The part of the operators' ratio that a box spends, so that requests which arrive at
-/// the edge of a window do not break it.
+/// Fraction of the operators' ratio that a box uses, so that requests at the edges of a window do
+/// not exceed the limit.
 const USED_RATIO_FRACTION: f64 = 0.85;
-/// The part of the operators' slack that all boxes together spend. The rest is for boxes that
-/// start anew and do not know what their last life spent. Where it is not spent, poor answers of
-/// small models are passed on for want of a repeat.
+/// Fraction of the operators' slack that all boxes together use. The rest is for boxes that restart
+/// and do not know what they spent before. With less, poor answers of small models are passed on
+/// for lack of a retry.
 const USED_SLACK_FRACTION: f64 = 0.7;
-/// The most repeats that one box takes of the slack, however few boxes it knows: one that
-/// was cut off from the start knows none.
+/// Maximum number of retries that one box takes from the slack, however few boxes it knows of: a
+/// box that is cut off from its start on knows of no other.
 const MAX_OWN_SLACK_RETRIES: f64 = 8.0;
-/// The part of the budget that raising a request to a larger model may use; the rest is
-/// kept for failures.
+/// Fraction of the budget available for escalation to a larger model; the rest is reserved for
+/// failures.
 const ESCALATION_BUDGET_FRACTION: f64 = 0.8;
 
-/// Why a request is sent once more.
+/// Why a request is sent again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryReason {
-    /// An upstream failed or refused it.
+    /// An upstream failed or refused the request.
     Failure,
     /// The answer of a smaller model was not good enough.
     Escalation,
 }
 
-/// How many repeats the operators allow all boxes together in each window.
+/// The operators' limit on the retries of all boxes together, within any window.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBound {
-    /// The most repeats, as a part of the requests.
+    /// Maximum retries as a ratio of the requests.
     pub ratio: f64,
-    /// Repeats beyond that.
+    /// Additional retries beyond the ratio.
     pub slack: f64,
-    /// The time over which repeats are counted.
+    /// The time over which retries are counted.
     pub window: Duration,
 }
 
 impl RetryBound {
-    /// Returns what one of so many boxes may take of the slack.
+    /// Returns one box's share of the slack, given the number of boxes.
     fn own_slack(&self, boxes: usize) -> f64 {
         let share = self.slack * USED_SLACK_FRACTION / boxes.max(1) as f64;
         share.min(MAX_OWN_SLACK_RETRIES)
     }
 }
 
-/// A box's budget for one service.
+/// The retry budget of one box for one service, over a sliding window.
 #[derive(Debug)]
 pub struct RetryWindow {
     bound: RetryBound,
@@ -60,7 +60,7 @@
 }
 
 impl RetryWindow {
-    /// Makes an empty budget.
+    /// Creates a budget of which nothing is spent.
     pub fn new(bound: RetryBound) -> Self {
         Self {
             bound,
@@ -70,18 +70,18 @@
         }
     }
 
-    /// Takes note of how many boxes share the operators' slack.
+    /// Sets the number of boxes that share the operators' slack.
     pub fn set_box_count(&mut self, boxes: usize) {
         self.boxes = boxes;
     }
 
-    /// Counts a request that is sent for the first time.
+    /// Counts the first send of a request.
     pub fn record_first(&mut self, now: Now) {
         self.drop_expired(now);
         self.first_sends.push_back(now.monotonic);
     }
 
-    /// Takes a repeat out of the budget if there is enough left.
+    /// Spends one retry if the budget allows it.
     pub fn try_spend(&mut self, reason: RetryReason, now: Now) -> bool {
         let has_budget = self.has_budget(reason, now);
         if has_budget {
@@ -90,7 +90,7 @@
         has_budget
     }
 
-    /// Tells whether a repeat could be taken now.
+    /// Returns whether the budget allows a retry now.
     pub fn has_budget(&mut self, reason: RetryReason, now: Now) -> bool {
         self.drop_expired(now);
         let earned = self.first_sends.len() as f64 * self.bound.ratio * USED_RATIO_FRACTION;
--- a/src/gateway/attempt/tries.rs
+++ b/src/gateway/attempt/tries.rs
@@ -6,7 +6,7 @@
 use crate::gateway::control::store::UpstreamLife;
 use std::cell::{Cell, RefCell};
 
-/// The tries of a request.
+/// The tries of one request so far.
 #[derive(Debug, Default)]
 pub struct TryHistory {
     tried_upstreams: RefCell<Vec<UpstreamLife>>,
@@ -18,7 +18,7 @@
 }
 
 impl TryHistory {
-    /// Records what came of a try.
+    /// Records the outcome of a try.
     pub fn record(&self, outcome: &TryOutcome) {
         if !matches!(
             outcome,
@@ -40,15 +40,16 @@
         }
     }
 
-    /// Tells whether the request has still to be counted as a first one, and counts it.
+    /// Returns whether the request has still to be counted as a first send, and marks it as
+    /// counted.
     ///
-    /// Tries that found no connection are not repeats, but they must not earn the budget
-    /// of a first request each time either.
+    /// Tries without a connection are not retries, but each of them must not earn the retry budget
+    /// of a first send either.
     pub fn count_first_once(&self) -> bool {
         !self.counted_as_first.replace(true)
     }
 
-    /// Returns the lives of upstreams that should not be asked again.
+    /// Returns the upstreams that are not to be tried again.
     pub fn tried_upstreams(&self) -> Vec<UpstreamLife> {
         self.tried_upstreams.borrow().clone()
     }
@@ -58,7 +59,7 @@
         self.possible_runs.get()
     }
 
-    /// Tells what may be said of the request.
+    /// Returns whether the request may have run anywhere.
     pub fn ran(&self) -> Ran {
         match self.may_have_run.get() {
             true => Ran::Perhaps,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Returns why no upstream is left: they refused, or there was none.
+    /// Returns why there is no upstream left to try: they refused the request, or there was none.
     pub fn exhausted_reason(&self) -> Why {
         match (self.ran(), self.refused.get()) {
             (Ran::Perhaps, _) => Why::UpstreamFailed,
@@ -80,12 +81,12 @@
         self.sent_count.get()
     }
 
-    /// Forgets which upstreams were tried, so that all may be asked again.
+    /// Allows all upstreams to be tried again.
     pub fn allow_all_upstreams(&self) {
         self.tried_upstreams.borrow_mut().clear();
     }
 
-    /// Records that the try's answer was dropped though it ran.
+    /// Excludes an upstream from further tries.
     pub fn exclude_upstream(&self, upstream: &Upstream) {
         self.tried_upstreams
             .borrow_mut()
--- a/src/gateway/attempt/upstream.rs
+++ b/src/gateway/attempt/upstream.rs
@@ -1,4 +1,4 @@
-//! What a box knows of each upstream: what it lists of itself, and how it behaves.
+//! What a box knows of each upstream: its registry entry, its load and its health.
 
 use super::headers::ReportedLoad;
 use crate::clock::Now;
@@ -13,32 +13,34 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How fast old failures stop to matter: after this time they count half. Long enough
-/// that an upstream which fails four in ten is told from a healthy one at a few requests
-/// a second, short enough that it is tried again within seconds.
+/// After this time, past successes and failures count half. It is long enough to tell an upstream
+/// that fails four requests in ten from a healthy one at a few requests per second, and short
+/// enough that the upstream is tried again within seconds.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(4);
-/// Imagined good answers that keep one failure of a new upstream from ruling it out.
+/// Number of assumed successes that keep a single failure of a new upstream from ruling it out.
 const PRIOR_SUCCESSES: f64 = 3.0;
-/// How long an upstream that did not even take a connection, or that fell silent, gets
-/// only what no other can take; the list drops a crashed one after three heartbeats.
+/// Length of the first back-off from an upstream that accepted no connection or stopped sending
+/// data. During the back-off it gets only requests that no other upstream can take. The registry
+/// drops a crashed upstream after three missed heartbeats.
 const INITIAL_BACK_OFF: Duration = Duration::from_millis(1200);
-/// The longest rest; each one in a row takes twice as long as the one before.
+/// Maximum length of a back-off; each consecutive one is twice as long as the one before.
 const MAX_BACK_OFF: Duration = Duration::from_secs(5);
-/// Rests after which they do not grow any more.
+/// Maximum number of times that the back-off is doubled.
 const MAX_BACK_OFF_DOUBLINGS: u32 = 4;
-/// How long a report of load is trusted; upstreams serve from two requests a second up.
+/// How long a load report is trusted; upstreams serve two requests per second or more.
 const LOAD_REPORT_LIFETIME: Duration = Duration::from_secs(2);
 
-/// Fullness that a failure rate of one counts for, so that an upstream which fails some
-/// of its requests loses to any that is not nearly full.
-const FAILURE_RATE_PENALTY_SLOT_FRACTION: f64 = 4.0;
-/// Failure rates below this are taken for chance.
+/// Penalty for a failure rate of 1, in units of slot utilization: an upstream that fails some of
+/// its requests loses to any other that is not nearly full.
+const FAILURE_RATE_PENALTY_UTILIZATION: f64 = 4.0;
+/// Failure rates up to this one are attributed to chance.
 const TOLERATED_FAILURE_RATE: f64 = 0.2;
-/// What resting counts for: more than all else together, since the upstream did not even
-/// take a connection.
-const BACK_OFF_PENALTY_SLOT_FRACTION: f64 = 100.0;
+/// Penalty for an upstream in back-off, in units of slot utilization: more than everything else
+/// together, since the upstream did not even accept a connection.
+const BACK_OFF_PENALTY_UTILIZATION: f64 = 100.0;
 
-/// One life of an upstream, shared by all requests of the box.
+/// One incarnation of an upstream, from a start of its process to the next, shared by all requests
+/// of the box.
 #[derive(Debug)]
 pub struct Upstream {
     life: UpstreamLife,
@@ -57,26 +59,27 @@
     is_evacuated: Cell<bool>,
 }
 
-/// What other boxes have under way at an upstream, as they told it last.
+/// What the other boxes have in flight at an upstream, by their latest reports.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct PeerLoad {
-    /// How long reading the prompts that wait takes.
+    /// Total time of the prefills still pending.
     pub pending_prefill: Duration,
-    /// Requests under way.
+    /// Number of requests in flight.
     pub outstanding: u32,
-    /// When this was so.
+    /// When this was the case.
     pub as_of: Duration,
 }
 
 impl PeerLoad {
-    /// Returns what is left to read by now, since the engine has read on.
+    /// Returns the prefill time still pending now, given that the engine has gone on since the
+    /// report.
     fn remaining_prefill(self, now: Now) -> Duration {
         let age = now.monotonic.saturating_sub(self.as_of);
         self.pending_prefill.saturating_sub(age)
     }
 }
 
-/// Counts a prompt out when its first event came or the try ended.
+/// Counts a prefill as pending until its first event arrives or the try ends.
 #[derive(Debug)]
 pub struct PendingPrefill {
     total: Rc<Cell<Duration>>,
@@ -90,7 +93,7 @@
     }
 }
 
-/// A report of load, and what this box has sent since.
+/// A load report, with this box's requests in flight when it arrived.
 #[derive(Debug, Clone, Copy)]
 struct LoadReport {
     load: ReportedLoad,
@@ -98,7 +101,7 @@
     outstanding_at_report: u32,
 }
 
-/// Answers and failures of late, each fading with time.
+/// Recent successes and failures, which decay exponentially, and the back-off that they led to.
 #[derive(Debug, Clone, Copy, Default)]
 struct Health {
     successes: f64,
@@ -106,7 +109,7 @@
     updated_at: Duration,
     back_off_until: Duration,
     consecutive_back_offs: u32,
-    /// Whether the upstream took no connection, so that one has to succeed first.
+    /// Whether the upstream accepted no connection; one has to succeed before it is used again.
     connect_failed: bool,
 }
 
@@ -122,11 +125,11 @@
 }
 
 impl Upstream {
-    /// Makes an upstream that was just listed.
+    /// Creates the state of a newly registered upstream.
     pub fn new(listed: ListedUpstream) -> Rc<Self> {
         let life = listed.life();
         Rc::new(Self {
-            // The lower half of a hash is as good as any other.
+            // The lower half of a hash is as good as any other part.
             short_hash: stable_hash(&life.to_string()) as u32,
             life,
             listed: RefCell::new(listed),
@@ -144,58 +147,59 @@
         })
     }
 
-    /// Returns which life of which upstream this is.
+    /// Identifies the upstream and its incarnation.
     pub fn life(&self) -> &UpstreamLife {
         &self.life
     }
 
-    /// Returns a hash of the life by which boxes name it to each other.
+    /// Returns a hash of the incarnation, by which boxes identify it in messages.
     ///
-    /// Bytes between halls are priced, and reports of load go to every box. That two lives
-    /// ever share a hash would only make both look busier.
+    /// Load reports go to every box, and bytes between halls are charged for. If two incarnations
+    /// ever shared a hash, both would merely look busier.
     pub fn short_hash(&self) -> u32 {
         self.short_hash
     }
 
-    /// Returns a copy of what the upstream lists of itself.
+    /// Returns a copy of the upstream's registry entry.
     pub fn listed(&self) -> ListedUpstream {
         self.listed.borrow().clone()
     }
 
-    /// Reads what the upstream lists of itself, without a copy.
+    /// Reads the upstream's registry entry without copying it.
     pub fn with_listed<T>(&self, read: impl FnOnce(&ListedUpstream) -> T) -> T {
         read(&self.listed.borrow())
     }
 
-    /// Takes a newer entry of the same life.
+    /// Replaces the registry entry with a newer one of the same incarnation.
     pub fn update_listing(&self, listed: ListedUpstream) {
         self.lapsed_at.set(None);
         *self.listed.borrow_mut() = listed;
     }
 
-    /// Records that the entry vanished while the store was away or had just come back.
+    /// Records that the registry entry disappeared while the store was unavailable or had just
+    /// recovered.
     pub fn lapse(&self, now: Now) {
         if self.lapsed_at.get().is_none() {
             self.lapsed_at.set(Some(now.monotonic));
         }
     }
 
-    /// Returns since when the entry has been missing, if it is.
+    /// Returns when the registry entry disappeared, if it is missing.
     pub fn lapsed_at(&self) -> Option<Duration> {
         self.lapsed_at.get()
     }
 
-    /// Counts a request in until the guard is dropped.
+    /// Counts a request as in flight until the guard is dropped.
     pub fn begin_request(&self) -> LoadGuard {
         self.load.enter()
     }
 
-    /// Returns this box's requests that the upstream has not finished.
+    /// Returns the number of this box's requests in flight at the upstream.
     pub fn outstanding(&self) -> u32 {
         self.load.outstanding()
     }
 
-    /// Counts a prompt that takes so long to read as waiting until the guard is dropped.
+    /// Counts a prefill as pending until the guard is dropped.
     pub fn begin_prefill(&self, prefill: Duration) -> PendingPrefill {
         self.pending_prefill
             .set(self.pending_prefill.get() + prefill);
@@ -205,22 +209,22 @@
         }
     }
 
-    /// Returns how long reading takes what this box sent and the upstream has not read yet.
+    /// Returns the total time of this box's pending prefills.
     pub fn own_pending_prefill(&self) -> Duration {
         self.pending_prefill.get()
     }
 
-    /// Returns how long reading takes what all boxes sent and the upstream has not read yet.
+    /// Returns the total time of the pending prefills of all boxes.
     pub fn pending_prefill(&self, now: Now) -> Duration {
         self.pending_prefill.get() + self.peer_load.get().remaining_prefill(now)
     }
 
-    /// Takes what other boxes have under way here.
+    /// Sets what the other boxes have in flight here.
     pub fn set_peer_load(&self, peer_load: PeerLoad) {
         self.peer_load.set(peer_load);
     }
 
-    /// Adds a long read that another box begins here.
+    /// Adds a long prefill that another box starts here.
     pub fn add_peer_prefill(&self, prefill: Duration, now: Now) {
         let known = self.peer_load.get();
         self.peer_load.set(PeerLoad {
@@ -230,7 +234,7 @@
         });
     }
 
-    /// Takes a report of load out of an answer.
+    /// Records a load report from the head of an answer.
     pub fn record_load_report(&self, load: ReportedLoad, now: Now) {
         self.report.set(Some(LoadReport {
             load,
@@ -239,7 +243,7 @@
         }));
     }
 
-    /// Estimates the requests that the upstream has, of all boxes.
+    /// Estimates the number of requests that the upstream has from all boxes.
     pub fn occupancy(&self, now: Now) -> u32 {
         let own = self.outstanding();
         match self.report.get() {
@@ -253,13 +257,13 @@
         }
     }
 
-    /// Returns the occupied part of the slots; over one means that requests wait.
+    /// Returns the utilization of the slots; above 1, requests are waiting.
     pub fn slot_utilization(&self, now: Now) -> f64 {
         let slots = self.listed.borrow().slots.max(1);
         f64::from(self.occupancy(now)) / f64::from(slots)
     }
 
-    /// Records a whole answer.
+    /// Records a complete answer.
     pub fn record_success(&self, now: Now) {
         let mut health = self.health.get().decayed(now);
         health.successes += 1.0;
@@ -269,19 +273,19 @@
         self.health.set(health);
     }
 
-    /// Records a request that the upstream failed though it took it.
+    /// Records that the upstream failed a request after accepting it.
     pub fn record_failure(&self, now: Now) {
         let mut health = self.health.get().decayed(now);
         health.failures += 1.0;
         self.health.set(health);
     }
 
-    /// Records that the upstream fell silent.
+    /// Records that the upstream stopped sending data.
     pub fn record_timeout(&self, now: Now) {
         self.start_back_off(now, false);
     }
 
-    /// Records that the upstream took no connection.
+    /// Records that the upstream accepted no connection.
     pub fn record_connect_failure(&self, now: Now) {
         self.start_back_off(now, true);
     }
@@ -290,7 +294,7 @@
         let mut health = self.health.get().decayed(now);
         health.failures += 1.0;
         health.connect_failed |= connect_failed;
-        // Requests that fail together count as one reason to rest.
+        // Requests that fail together lead to a single back-off.
         if now.monotonic >= health.back_off_until {
             let back_off = INITIAL_BACK_OFF * 2u32.saturating_pow(health.consecutive_back_offs);
             health.back_off_until = now.monotonic + back_off.min(MAX_BACK_OFF);
@@ -300,7 +304,7 @@
         self.health.set(health);
     }
 
-    /// Records that the upstream takes connections.
+    /// Records that the upstream accepts connections.
     pub fn record_connect_success(&self) {
         let mut health = self.health.get();
         if health.connect_failed {
@@ -310,79 +314,80 @@
         }
     }
 
-    /// Tells whether a connection has to succeed before the upstream is used again.
+    /// Returns whether a connection has to succeed before the upstream is used again.
     pub fn needs_connect_success(&self) -> bool {
         self.health.get().connect_failed
     }
 
-    /// Tells whether the upstream should get only what no other can take.
+    /// Returns whether the upstream should get only requests that no other can take.
     pub fn is_backing_off(&self, now: Now) -> bool {
         let health = self.health.get();
         health.connect_failed || now.monotonic < health.back_off_until
     }
 
-    /// Takes what the head of an answer says; that it leaves is never taken back.
-    pub fn apply_head_signs(&self, signs: Signs, now: Now) {
+    /// Updates the state from the head of an answer. The announcement that the upstream is leaving
+    /// is never taken back.
+    pub fn update_from_head(&self, signs: Signs, now: Now) {
         if signs.leaves {
             self.is_leaving.set(true);
         }
-        if let Some(rest) = signs.rest {
-            self.set_retry_after(rest, now);
+        if let Some(delay) = signs.rest {
+            self.set_retry_after(delay, now);
         }
         if !signs.is_refusal {
             self.record_accepted_request(now);
         }
     }
 
-    /// Tells whether an answer of the upstream said that it leaves.
+    /// Returns whether the upstream announced in an answer that it is leaving.
     pub fn is_leaving(&self) -> bool {
         self.is_leaving.get()
     }
 
-    /// Records that the upstream wants nothing from this box for so long.
-    pub fn set_retry_after(&self, rest: Duration, now: Now) {
-        let mut asked = self.retry_after.get();
-        asked.ask(rest, now);
-        self.retry_after.set(asked);
+    /// Records that the upstream state this box to send nothing for a time (`Retry-After`).
+    pub fn set_retry_after(&self, delay: Duration, now: Now) {
+        let mut state = self.retry_after.get();
+        state.ask(delay, now);
+        self.retry_after.set(state);
     }
 
-    /// Records that the upstream took a request.
+    /// Records that the upstream accepted a request.
     pub fn record_accepted_request(&self, now: Now) {
-        let mut asked = self.retry_after.get();
-        asked.took_request(now);
-        self.retry_after.set(asked);
+        let mut state = self.retry_after.get();
+        state.took_request(now);
+        self.retry_after.set(state);
     }
 
-    /// Tells whether a rest goes on that the upstream asked for.
+    /// Returns whether a `Retry-After` time is running.
     pub fn is_in_retry_after(&self, now: Now) -> bool {
         self.retry_after.get().goes_on(now)
     }
 
-    /// Returns how long the upstream takes no request of this box because it asked for rest; none
-    /// if it takes one now.
+    /// Returns how long the upstream takes no further request of this box because of a
+    /// `Retry-After`; `None` if it takes one now.
     pub fn retry_after_left(&self, now: Now) -> Option<Duration> {
         self.retry_after.get().left(self.outstanding(), now)
     }
 
-    /// Records that the upstream warms up for so long from now on.
+    /// Records that the upstream needs this long to warm up from now on.
     pub fn begin_warm_up(&self, duration: Duration, now: Now) {
         let mut state = self.warm_up.get();
         state.begin(duration, now);
         self.warm_up.set(state);
     }
 
-    /// Tells whether the upstream warms up.
+    /// Returns whether the upstream is warming up.
     pub fn is_warming_up(&self, now: Now) -> bool {
         self.warm_up.get().is_active(now)
     }
 
-    /// Returns how much longer the upstream warms up; zero once it is warm.
+    /// Returns how much longer the warm-up lasts; zero once the upstream is warm.
     pub fn warm_up_left(&self, now: Now) -> Duration {
         self.warm_up.get().remaining(now)
     }
 
-    /// Returns how long this box has to wait before it may send a request to the upstream, which
-    /// warms up; none if it may now.
+    /// Returns how long this box has to wait before it may send a request to the upstream because
+    /// of its warm-up; `None` if it may send now.
     pub fn warm_up_delay(
         &self,
         limits: WarmUp,
@@ -395,40 +400,40 @@
         delay
     }
 
-    /// Records that a request is about to go out.
+    /// Records that a request is about to be sent.
     pub fn record_warm_up_send(&self, now: Now) {
         let mut state = self.warm_up.get();
         state.record_send(now);
         self.warm_up.set(state);
     }
 
-    /// Records whether the operators have evacuated the upstream's hall.
+    /// Records whether operators have evacuated the upstream's hall.
     pub fn set_evacuated(&self, is_evacuated: bool) {
         self.is_evacuated.set(is_evacuated);
     }
 
-    /// Tells whether the operators have evacuated the upstream's hall.
+    /// Returns whether operators have evacuated the upstream's hall.
     pub fn is_evacuated(&self) -> bool {
         self.is_evacuated.get()
     }
 
-    /// Records that something came from the upstream.
+    /// Records that data arrived from the upstream.
     pub fn record_data_received(&self, now: Now) {
         self.last_data_at.set(now.monotonic);
     }
 
-    /// Returns how long nothing has come from the upstream to any request of this box,
-    /// counted from a moment at the earliest.
-    pub fn time_without_data(&self, moment: Duration, now: Now) -> Duration {
+    /// Returns how long no data has arrived from the upstream for any request of this box, counted
+    /// from `since` at the earliest.
+    pub fn time_without_data(&self, since: Duration, now: Now) -> Duration {
         now.monotonic
-            .saturating_sub(moment.max(self.last_data_at.get()))
+            .saturating_sub(since.max(self.last_data_at.get()))
     }
 
-    /// Returns how little the upstream is wanted, in parts of its slots: how full it is, how
-    /// often it fails, and whether it rests.
+    /// Returns the penalty for choosing the upstream, in units of slot utilization: its load, its
+    /// failure rate and its back-off.
     pub fn penalty(&self, now: Now) -> f64 {
         let back_off = if self.is_backing_off(now) {
-            BACK_OFF_PENALTY_SLOT_FRACTION
+            BACK_OFF_PENALTY_UTILIZATION
         } else {
             0.0
         };
@@ -438,12 +443,12 @@
     fn failure_penalty(&self, now: Now) -> f64 {
         let rate = self.failure_rate(now);
         match rate > TOLERATED_FAILURE_RATE {
-            true => rate * FAILURE_RATE_PENALTY_SLOT_FRACTION,
+            true => rate * FAILURE_RATE_PENALTY_UTILIZATION,
             false => 0.0,
         }
     }
 
-    /// Returns the part of requests that it failed of late, from 0 to 1.
+    /// Returns the fraction of recent requests that failed, from 0 to 1.
     pub fn failure_rate(&self, now: Now) -> f64 {
         let health = self.health.get().decayed(now);
         health.failures / (health.successes + health.failures + PRIOR_SUCCESSES)
--- a/src/gateway/place/peer_loads.rs
+++ b/src/gateway/place/peer_loads.rs
@@ -30,7 +30,7 @@
 /// What one box has in flight.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct BoxLoad {
-    /// Hash of the name of this run of the reporting box.
+    /// Hash of the name of the reporting box's incarnation.
     reporter: u64,
     /// The upstreams with requests in flight, identified by [`Upstream::short_hash`]: the report
     /// goes to every box, and bytes between halls are charged for.
@@ -50,7 +50,7 @@
 /// Announces that a box starts a long prefill, ahead of the box's next report.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct LongPrefill {
-    /// Hash of the name of this run of the reporting box.
+    /// Hash of the name of the reporting box's incarnation.
     reporter: u64,
     /// [`Upstream::short_hash`].
     upstream: u32,
