--- a/tests/gateway/escalation.rs
+++ b/tests/gateway/escalation.rs
@@ -1,4 +1,4 @@
-//! Whether a smaller model's answer will do.
+//! Whether a smaller model's answer is accepted or a larger model is asked.
 
 use super::cases;
 use gatepier::gateway::admit::routes::EVEN_RANK;
@@ -25,31 +25,31 @@
     }
 }
 
-/// What three models are expected to take, the largest as given.
+/// The expected times of three models, with the largest as given.
 fn three(largest: ExpectedFirstEvent) -> [ExpectedFirstEvent; 3] {
     [expected(10, 0), expected(40, 0), largest]
 }
 
 cases! {
-    sure_answers_are_passed_on => {
+    confident_answers_are_accepted => {
         let expected = three(expected(100, 0));
         expect_that!(judge_answer(begun(0, Some(90)), &expected, LEFT), eq(EscalationDecision::Accept));
         expect_that!(judge_answer(begun(0, None), &expected, LEFT), eq(EscalationDecision::Accept));
         expect_that!(judge_answer(begun(0, Some(10)), &[], LEFT), eq(EscalationDecision::Accept));
     }
 
-    unsure_answers_go_to_the_largest_model => {
+    low_confidence_escalates_to_the_largest_model => {
         let verdict = judge_answer(begun(0, Some(20)), &three(expected(100, 0)), LEFT);
         expect_that!(verdict, eq(EscalationDecision::Escalate(2)));
     }
 
-    half_sure_answers_go_to_the_next_model => {
+    medium_confidence_escalates_to_the_next_model => {
         let expected = three(expected(100, 0));
         expect_that!(judge_answer(begun(0, Some(45)), &expected, LEFT), eq(EscalationDecision::Escalate(1)));
         expect_that!(judge_answer(begun(1, Some(45)), &expected, LEFT), eq(EscalationDecision::Escalate(2)));
     }
 
-    // Load: kinds of requests whose answers are worth unlike much for what the larger model costs.
+    // Routes differ in the value of their answers relative to the cost of the larger model.
     urgent_routes_get_the_larger_model_at_less_doubt => {
         let expected = three(expected(100, 0));
         let verdict = |rank_fraction, confidence| {
@@ -67,17 +67,17 @@
         expect_that!(judge_answer(begun(2, Some(0)), &expected, LEFT), eq(EscalationDecision::Accept));
     }
 
-    late_larger_answers_are_not_asked_for => {
+    larger_models_that_would_be_late_are_not_asked => {
         let late = three(expected(990, 0));
         expect_that!(judge_answer(begun(0, Some(0)), &late, LEFT), eq(EscalationDecision::AcceptUnsure));
         expect_that!(judge_answer(begun(0, Some(25)), &late, LEFT), eq(EscalationDecision::Escalate(1)));
-        // What others send meanwhile makes most of those late that are expected just in time.
+        // Requests from other boxes delay most answers that are expected just in time.
         let barely = three(expected(850, 0));
         expect_that!(judge_answer(begun(0, Some(0)), &barely, LEFT), eq(EscalationDecision::AcceptUnsure));
     }
 
-    full_engines_get_no_larger_model => {
-        // With the whole objective open to larger models, they filled all engines.
+    larger_models_are_not_asked_while_engines_are_full => {
+        // When larger models could use the whole objective, they filled all engines.
         let full = three(expected(600, 300));
         expect_that!(judge_answer(begun(0, Some(0)), &full, LEFT), eq(EscalationDecision::AcceptUnsure));
     }
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! The gateway's decisions, as functions of what is known and of the present time.
+//! Tests of the decisions of the gateway, as functions of its state and the current time.
 
 mod boundary;
 mod datagrams;
@@ -24,7 +24,7 @@
 use gatepier::gateway::control::store::ListedUpstream;
 use std::time::Duration;
 
-/// Names each case as a test of its own.
+/// Generates a test for each case.
 macro_rules! cases {
     ($($name:ident => $body:block)*) => {
         $(
@@ -35,7 +35,7 @@
 }
 pub(crate) use cases;
 
-/// Returns a present time, in milliseconds since the start.
+/// Returns a time in milliseconds since the start of the test.
 pub fn at(millis: u64) -> Now {
     Now {
         monotonic: Duration::from_millis(millis),
@@ -43,7 +43,7 @@
     }
 }
 
-/// Lists an upstream that takes work.
+/// Returns the registry entry of an upstream that accepts requests.
 pub fn listed(instance: &str, service: &str, hall: &str) -> ListedUpstream {
     ListedUpstream {
         instance: instance.to_owned(),
--- a/tests/gateway/quarantine.rs
+++ b/tests/gateway/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are kept from upstreams because they crash them.
+//! Which requests are withheld from upstreams because they crash them.
 
 use super::{at, cases};
 use gatepier::clock::Now;
@@ -9,8 +9,8 @@
 const REQUEST: Fingerprint = Fingerprint(1);
 const OTHER: Fingerprint = Fingerprint(2);
 
-/// A ledger in which a request was at crashes of upstreams 1 and up.
-fn at_crashes(request: Fingerprint, crashes: u32, now: Now) -> CrashLedger {
+/// A ledger in which a request ran at the crashes of upstreams 1 and up.
+fn ledger_with_crashes(request: Fingerprint, crashes: u32, now: Now) -> CrashLedger {
     let mut ledger = CrashLedger::default();
     for life in 1..=crashes {
         ledger.crashed(life, request, Part::Present, now);
@@ -38,12 +38,12 @@
 
 cases! {
     request_at_two_crashes_is_sent_like_any_other => {
-        let ledger = at_crashes(REQUEST, 2, at(0));
+        let ledger = ledger_with_crashes(REQUEST, 2, at(0));
         expect_that!(ledger.standing(REQUEST, at(0)), eq(Standing::Clear));
     }
 
-    request_at_three_crashes_is_tried_alone => {
-        let mut ledger = at_crashes(REQUEST, 3, at(0));
+    request_at_three_crashes_is_put_on_trial => {
+        let mut ledger = ledger_with_crashes(REQUEST, 3, at(0));
         expect_that!(ledger.standing(REQUEST, at(0)), eq(Standing::Suspect));
         ledger.begin_trial(REQUEST, at(0));
         let standing = ledger.standing(REQUEST, at(100));
@@ -53,19 +53,19 @@
     }
 
     crash_on_trial_quarantines_a_request => {
-        let mut ledger = at_crashes(REQUEST, 3, at(0));
+        let mut ledger = ledger_with_crashes(REQUEST, 3, at(0));
         ledger.crashed(4, REQUEST, Part::OnTrial, at(10));
         expect_that!(ledger.standing(REQUEST, at(10)), eq(Standing::Quarantined));
     }
 
-    // Guards against blame for crashes that others cause again and again.
-    crashes_beside_others_never_quarantine_a_request => {
-        let ledger = at_crashes(REQUEST, 9, at(0));
+    // Guards against blaming a request for repeated crashes that other requests cause.
+    crashes_outside_of_a_trial_never_quarantine_a_request => {
+        let ledger = ledger_with_crashes(REQUEST, 9, at(0));
         expect_that!(ledger.standing(REQUEST, at(0)), eq(Standing::Suspect));
     }
 
     answer_clears_a_request_of_all_crashes => {
-        let mut ledger = at_crashes(REQUEST, 3, at(0));
+        let mut ledger = ledger_with_crashes(REQUEST, 3, at(0));
         ledger.begin_trial(REQUEST, at(0));
         expect_that!(ledger.answered(REQUEST, at(50)), some(anything()));
         expect_that!(ledger.standing(REQUEST, at(50)), eq(Standing::Clear));
@@ -75,17 +75,17 @@
         expect_that!(ledger.answered(OTHER, at(50)), none());
     }
 
-    late_word_of_an_old_crash_does_not_undo_an_answer => {
-        let mut ledger = at_crashes(REQUEST, 3, at(0));
+    late_record_of_an_old_crash_does_not_undo_an_answer => {
+        let mut ledger = ledger_with_crashes(REQUEST, 3, at(0));
         ledger.answered(REQUEST, at(50));
         let late: Vec<(u32, Part)> = (1..=3).map(|life| (life, Part::Present)).collect();
         ledger.take(&record(REQUEST, &late), at(60));
         expect_that!(ledger.standing(REQUEST, at(60)), eq(Standing::Clear));
     }
 
-    // Of two on trial at the same upstream, either may have crashed it.
-    two_on_trial_at_one_crash_are_both_tried_again => {
-        let mut ledger = at_crashes(REQUEST, 3, at(0));
+    // Either of two requests on trial at the same upstream may have crashed it.
+    two_requests_on_trial_at_one_crash_are_both_tried_again => {
+        let mut ledger = ledger_with_crashes(REQUEST, 3, at(0));
         ledger.take(&record(OTHER, &[(1, Part::Present), (2, Part::Present), (3, Part::Present)]), at(0));
         ledger.crashed(4, REQUEST, Part::OnTrial, at(10));
         ledger.crashed(4, OTHER, Part::OnTrial, at(10));
@@ -96,7 +96,7 @@
         expect_that!(ledger.standing(OTHER, at(20)), eq(Standing::Suspect));
     }
 
-    boxes_that_hear_the_same_in_any_order_agree => {
+    boxes_that_receive_the_same_records_in_any_order_agree => {
         let records = [
             record(REQUEST, &[(1, Part::Present), (2, Part::Present)]),
             record(REQUEST, &[(2, Part::Present), (3, Part::Present)]),
@@ -112,27 +112,27 @@
         }
     }
 
-    box_that_was_told_all_knows_what_the_teller_knows => {
-        let mut teller = at_crashes(REQUEST, 3, at(0));
-        teller.crashed(4, REQUEST, Part::OnTrial, at(10));
-        teller.crashed(5, OTHER, Part::Present, at(10));
-        let mut joined = CrashLedger::default();
-        for record in teller.to_tell(at(1000)) {
-            joined.take(&record, at(1000));
+    box_that_received_all_records_agrees_with_the_sender => {
+        let mut sender = ledger_with_crashes(REQUEST, 3, at(0));
+        sender.crashed(4, REQUEST, Part::OnTrial, at(10));
+        sender.crashed(5, OTHER, Part::Present, at(10));
+        let mut receiver = CrashLedger::default();
+        for record in sender.to_tell(at(1000)) {
+            receiver.take(&record, at(1000));
         }
-        expect_that!(joined.standing(REQUEST, at(1000)), eq(Standing::Quarantined));
+        expect_that!(receiver.standing(REQUEST, at(1000)), eq(Standing::Quarantined));
     }
 
-    requests_are_forgotten_some_minutes_after_their_last_crash => {
-        let mut ledger = at_crashes(REQUEST, 3, at(0));
+    requests_are_forgotten_ten_minutes_after_their_last_crash => {
+        let mut ledger = ledger_with_crashes(REQUEST, 3, at(0));
         ledger.crashed(4, REQUEST, Part::OnTrial, at(0));
         expect_that!(ledger.standing(REQUEST, at(599_000)), eq(Standing::Quarantined));
         expect_that!(ledger.standing(REQUEST, at(601_000)), eq(Standing::Clear));
         expect_that!(ledger.to_tell(at(601_000)), is_empty());
     }
 
-    flood_of_requests_leaves_those_in_quarantine => {
-        let mut ledger = at_crashes(REQUEST, 3, at(0));
+    flood_of_requests_does_not_evict_quarantined_ones => {
+        let mut ledger = ledger_with_crashes(REQUEST, 3, at(0));
         ledger.crashed(4, REQUEST, Part::OnTrial, at(0));
         for number in 0..3 * MOST_REQUESTS {
             let flood = Fingerprint(1_000 + number as u128);
@@ -142,7 +142,7 @@
         expect_that!(ledger.standing(REQUEST, at(2)), eq(Standing::Quarantined));
     }
 
-    requests_are_told_apart_by_caller_target_and_body => {
+    fingerprints_differ_by_caller_target_and_body => {
         let request = Fingerprint::of(identity());
         expect_that!(Fingerprint::of(identity()), eq(request));
         let others = [
--- a/tests/gateway/retries.rs
+++ b/tests/gateway/retries.rs
@@ -1,4 +1,4 @@
-//! The budget of repeats.
+//! The retry budget.
 
 use super::{at, cases};
 use gatepier::gateway::attempt::exchange::{NotRunReason, TryOutcome};
@@ -13,21 +13,21 @@
     window: Duration::from_secs(10),
 };
 
-/// Makes the budget of one of ten boxes.
+/// Creates the budget of one of ten boxes.
 fn window() -> RetryWindow {
     let mut window = RetryWindow::new(BOUND);
     window.set_box_count(10);
     window
 }
 
-fn spend(window: &mut RetryWindow, repeat: RetryReason, millis: u64) -> usize {
+fn spend(window: &mut RetryWindow, reason: RetryReason, millis: u64) -> usize {
     (0..1000)
-        .take_while(|_| window.try_spend(repeat, at(millis)))
+        .take_while(|_| window.try_spend(reason, at(millis)))
         .count()
 }
 
 cases! {
-    repeats_stay_under_the_ratio_and_a_small_slack => {
+    retries_stay_within_the_ratio_and_a_small_slack => {
         let mut window = window();
         for millis in 0..100 {
             window.record_first(at(millis));
@@ -36,7 +36,7 @@
         expect_that!(spent, all!(ge(70), le(92)));
     }
 
-    boxes_together_stay_under_the_operators_slack => {
+    boxes_together_stay_within_the_operators_slack => {
         for boxes in [1, 6, 91, 300] {
             let spent = |_| {
                 let mut window = RetryWindow::new(BOUND);
@@ -48,13 +48,13 @@
         }
     }
 
-    box_that_knows_no_other_takes_a_bounded_part_of_the_slack => {
+    box_that_knows_no_other_uses_a_bounded_part_of_the_slack => {
         let mut window = RetryWindow::new(RetryBound { slack: 222.0, ..BOUND });
         window.set_box_count(0);
         expect_that!(spend(&mut window, RetryReason::Failure, 0), le(8));
     }
 
-    escalations_leave_a_part_for_failures => {
+    escalations_leave_budget_for_failures => {
         let mut window = window();
         for millis in 0..100 {
             window.record_first(at(millis));
@@ -64,7 +64,7 @@
         expect_that!(window.has_budget(RetryReason::Failure, at(200)), eq(true));
     }
 
-    request_without_a_connection_counts_once => {
+    request_without_a_connection_is_counted_once => {
         let tries = TryHistory::default();
         expect_that!(tries.count_first_once(), eq(true));
         tries.record(&TryOutcome::NotRun(NotRunReason::NoConnection("refused".to_owned())));
@@ -72,7 +72,7 @@
         expect_that!(tries.count_first_once(), eq(false));
     }
 
-    old_requests_earn_nothing => {
+    expired_requests_earn_no_budget => {
         let mut window = window();
         for millis in 0..100 {
             window.record_first(at(millis));
--- a/tests/gateway/retry_after.rs
+++ b/tests/gateway/retry_after.rs
@@ -1,4 +1,4 @@
-//! For how long an upstream that asked for rest is left alone.
+//! How long an upstream that sent `Retry-After` is left alone.
 
 use super::{at, cases, listed};
 use gatepier::clock::WallTime;
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-const DAY: Duration = Duration::from_secs(24 * 3600);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(24 * 3600);
 
 fn upstream() -> Rc<Upstream> {
     Upstream::new(listed("i-1", "engine", "ikeja"))
@@ -21,30 +21,30 @@
 }
 
 cases! {
-    seconds_with_fractions_are_read => {
+    seconds_with_fractions_are_parsed => {
         expect_that!(parsed("3"), some(eq(Duration::from_secs(3))));
         expect_that!(parsed(" 0.25 "), some(eq(Duration::from_millis(250))));
     }
 
-    dates_are_read => {
+    dates_are_parsed => {
         let date = "Sun, 06 Nov 1994 08:49:40 GMT";
         expect_that!(parsed(date), some(eq(Duration::from_secs(3))));
         expect_that!(parsed("Sun, 06 Nov 1994 08:49:30 GMT"), none());
     }
 
-    values_that_ask_for_nothing_or_cannot_be_read_are_no_rest => {
+    zero_negative_and_invalid_values_are_ignored => {
         for text in ["", "0", "-1", "-0.5", "soon", "NaN", "inf", "3 s", "1,5"] {
             expect_that!(parsed(text), none(), "{text}");
         }
     }
 
-    rests_beyond_all_reason_are_bounded => {
+    excessive_values_are_capped => {
         for text in ["1e300", "99999999999", "Sat, 06 Nov 2094 08:49:37 GMT"] {
-            expect_that!(parsed(text), some(eq(DAY)), "{text}");
+            expect_that!(parsed(text), some(eq(MAX_RETRY_AFTER)), "{text}");
         }
     }
 
-    rest_lasts_as_long_as_it_was_asked_for => {
+    retry_after_lasts_as_long_as_requested => {
         let upstream = upstream();
         expect_that!(upstream.retry_after_left(at(0)), none());
         upstream.set_retry_after(Duration::from_secs(3), at(0));
@@ -53,8 +53,8 @@
         expect_that!(upstream.retry_after_left(at(3000)), none());
     }
 
-    // Guards against refusals of requests that were under way, which may ask for less.
-    shorter_rest_does_not_cut_a_longer_one => {
+    // Requests in flight may be refused later with a shorter `Retry-After`.
+    shorter_retry_after_does_not_shorten_a_longer_one => {
         let upstream = upstream();
         upstream.set_retry_after(Duration::from_secs(3), at(0));
         upstream.set_retry_after(Duration::from_secs(1), at(100));
@@ -63,7 +63,7 @@
         expect_that!(upstream.is_in_retry_after(at(5100)), eq(true));
     }
 
-    answers_that_were_under_way_do_not_end_a_rest => {
+    answers_in_flight_do_not_end_a_retry_after => {
         let upstream = upstream();
         upstream.set_retry_after(Duration::from_secs(3), at(0));
         upstream.record_accepted_request(at(500));
@@ -71,8 +71,9 @@
         expect_that!(upstream.is_in_retry_after(at(501)), eq(true));
     }
 
-    // Guards against all that waited for the end of a rest coming at the same moment.
-    few_requests_go_to_an_upstream_that_has_just_rested => {
+    // Guards against sending all requests that waited for the end of a `Retry-After` at the same
+    // moment.
+    few_requests_go_to_an_upstream_just_after_its_retry_after => {
         let upstream = upstream();
         upstream.set_retry_after(Duration::from_secs(3), at(0));
         let first = upstream.begin_request();
@@ -84,7 +85,7 @@
         drop(first);
     }
 
-    own_rest_and_asked_rest_do_not_shorten_each_other => {
+    failure_back_off_and_retry_after_do_not_shorten_each_other => {
         let upstream = upstream();
         upstream.record_connect_failure(at(0));
         upstream.set_retry_after(Duration::from_millis(100), at(0));
@@ -95,7 +96,7 @@
         expect_that!(upstream.is_in_retry_after(at(10_000)), eq(true));
     }
 
-    signs_are_read_from_the_head_of_an_answer => {
+    leaving_and_retry_after_are_read_from_the_head_of_an_answer => {
         let read = |status, leaving, retry_after| {
             Signs::read(status, SignHeaders { leaving, retry_after }, WallTime(0))
         };
@@ -103,7 +104,7 @@
         expect_that!(refusal.rest, some(eq(Duration::from_secs(2))));
         expect_that!(refusal.is_refusal, eq(true));
         expect_that!(read(429, None, Some("2")).rest, some(anything()));
-        expect_that!(read(200, None, Some("2")).rest, none(), "it is no refusal");
+        expect_that!(read(200, None, Some("2")).rest, none(), "not a refusal");
         expect_that!(read(503, Some("1"), None).leaves, eq(true));
         expect_that!(read(200, Some(" 1 "), None).leaves, eq(true));
         expect_that!(read(200, Some("0"), None).leaves, eq(false));
