--- /dev/null
+++ b/src/gateway/attempt/crash_detection.rs
@@ -0,0 +1,173 @@
+//! Detects whether an upstream crashed when runs at it were interrupted.
+//!
+//! A broken connection alone is no proof: connections get reset, and halls get cut off from the
+//! network. If the upstream's address refuses a new connection right afterwards, its process is
+//! gone, and any of the requests that ran there may be the cause.
+
+use super::upstream::Upstream;
+use crate::clock::Now;
+use crate::crash_ledger::{AfterBreak, Part};
+use crate::fingerprint::Fingerprint;
+use crate::gateway::Gateway;
+use crate::gateway::control::store::UpstreamLife;
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::Notify;
+use tokio::time::sleep;
+
+/// Delay between an interrupted run and the connection check of its upstream: a process that ends
+/// closes its connections and its listening socket one after the other.
+const CHECK_DELAY: Duration = Duration::from_millis(15);
+/// How long interrupted runs are kept so that they can be attributed to a crash: the other runs of
+/// the same crash are noticed within the time that a lost TCP reset takes to be sent again.
+const INTERRUPTED_RUN_RETENTION: Duration = Duration::from_secs(2);
+
+/// The recently interrupted runs, by the incarnation of their upstream.
+#[derive(Debug, Default)]
+pub struct CrashDetector {
+    interrupted: RefCell<HashMap<UpstreamLife, InterruptedRuns>>,
+    work_added: Notify,
+}
+
+/// The interrupted runs at one upstream.
+#[derive(Debug)]
+struct InterruptedRuns {
+    upstream: Rc<Upstream>,
+    runs: Vec<InterruptedRun>,
+    first_at: Duration,
+    state: CheckState,
+}
+
+/// A run of a request whose connection broke before the answer was complete.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct InterruptedRun {
+    /// The request.
+    pub request: Fingerprint,
+    /// Its part in the crash, if the upstream did crash.
+    pub part: Part,
+}
+
+/// The work that is due: upstreams to check, and crashes to record.
+#[derive(Debug, Default)]
+struct DueWork {
+    checks: Vec<Rc<Upstream>>,
+    crashes: Vec<(Rc<Upstream>, Vec<InterruptedRun>)>,
+}
+
+/// State of the connection check of an upstream.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum CheckState {
+    Due,
+    InProgress,
+    Crashed,
+}
+
+impl CrashDetector {
+    /// Records an interrupted run.
+    fn add(&self, upstream: &Rc<Upstream>, run: InterruptedRun, now: Now) {
+        let mut interrupted = self.interrupted.borrow_mut();
+        interrupted.retain(|_, known| {
+            now.monotonic.saturating_sub(known.first_at) < INTERRUPTED_RUN_RETENTION
+        });
+        let known = interrupted
+            .entry(upstream.life().clone())
+            .or_insert_with(|| InterruptedRuns {
+                upstream: upstream.clone(),
+                runs: Vec::new(),
+                first_at: now.monotonic,
+                state: CheckState::Due,
+            });
+        known.runs.push(run);
+        self.work_added.notify_one();
+    }
+
+    /// Takes the upstreams whose check is due, and the runs at upstreams that are known to have
+    /// crashed.
+    fn take_due(&self) -> DueWork {
+        let mut due = DueWork::default();
+        for known in self.interrupted.borrow_mut().values_mut() {
+            match known.state {
+                CheckState::Due => {
+                    known.state = CheckState::InProgress;
+                    due.checks.push(known.upstream.clone());
+                }
+                CheckState::Crashed if !known.runs.is_empty() => {
+                    let runs = std::mem::take(&mut known.runs);
+                    due.crashes.push((known.upstream.clone(), runs));
+                }
+                CheckState::InProgress | CheckState::Crashed => {}
+            }
+        }
+        due
+    }
+
+    /// Records the result of a check; returns the runs of the upstream if it has not crashed.
+    fn finish_check(&self, life: &UpstreamLife, found: AfterBreak) -> Vec<InterruptedRun> {
+        let mut interrupted = self.interrupted.borrow_mut();
+        match found {
+            AfterBreak::Crashed => {
+                if let Some(known) = interrupted.get_mut(life) {
+                    known.state = CheckState::Crashed;
+                }
+                self.work_added.notify_one();
+                Vec::new()
+            }
+            AfterBreak::Alive | AfterBreak::Unreachable => interrupted
+                .remove(life)
+                .map_or_else(Vec::new, |known| known.runs),
+        }
+    }
+}
+
+impl Gateway {
+    /// Records that a run was interrupted, and schedules a crash check of its upstream.
+    pub fn record_interrupted_run(&self, run: InterruptedRun, upstream: &Rc<Upstream>, now: Now) {
+        self.crashes.add(upstream, run, now);
+    }
+
+    /// Records the requests that ran at an upstream when it crashed. An upstream that was about to
+    /// leave has ended as planned, whatever ran there.
+    fn record_crash(&self, upstream: &Upstream, runs: &[InterruptedRun], now: Now) {
+        if !self.knowledge.borrow().is_serving(upstream.life()) {
+            return;
+        }
+        for run in runs {
+            self.telemetry.ran_at_crash(upstream, *run);
+            let life = upstream.short_hash();
+            self.quarantine
+                .record_crash(life, run.request, run.part, now);
+        }
+    }
+}
+
+/// Checks upstreams with interrupted runs for crashes; runs for the lifetime of the process.
+pub async fn check_interrupted_upstreams(gw: Rc<Gateway>) {
+    loop {
+        gw.crashes.work_added.notified().await;
+        let due = gw.crashes.take_due();
+        for upstream in due.checks {
+            actix_rt::spawn(check(gw.clone(), upstream));
+        }
+        for (upstream, runs) in due.crashes {
+            gw.record_crash(&upstream, &runs, Now::read());
+        }
+    }
+}
+
+async fn check(gw: Rc<Gateway>, upstream: Rc<Upstream>) {
+    sleep(CHECK_DELAY).await;
+    let now = Now::read();
+    let opened = gw.connections.open(&upstream, now).await;
+    let found = AfterBreak::by(&opened);
+    if let Ok(connection) = opened {
+        gw.connections.release(upstream.life(), connection, now);
+    }
+    gw.telemetry.checked_after_break(&upstream, found);
+    for run in gw.crashes.finish_check(upstream.life(), found) {
+        if run.part == Part::OnTrial {
+            gw.quarantine.end_trial(run.request, now);
+        }
+    }
+}
--- a/src/gateway/attempt/exchange.rs
+++ b/src/gateway/attempt/exchange.rs
@@ -1,13 +1,12 @@
-//! One try of one request at one upstream, and what its outcome proves.
+//! A single try of a request at one upstream, and what its outcome proves.
 //!
-//! Only here is it decided whether a try may have run: [`Tried::NotRun`] is made from an
-//! upstream's own statement or from the proof that no byte was written, and nowhere
-//! else. See `docs/design/platform.md`.
+//! Only this module decides whether a request may have run: [`TryOutcome::NotRun`] requires the
+//! upstream's own statement or the proof that no byte was written. See `docs/design/platform.md`.
 
-use super::connect::{Connection, Connections, http1_types};
-use super::patience::{Patience, patiently};
-use super::protocol::{Headers, parse_load};
-use super::upstream::{Unread, Upstream};
+use super::connect::{Connection, ConnectionPool, http1_types};
+use super::headers::{HeaderNames, parse_load};
+use super::response_timeout::{ResponseTimeout, with_response_timeout};
+use super::upstream::{PendingPrefill, Upstream};
 use crate::clock::Now;
 use crate::routing::placement::LoadGuard;
 use crate::routing::signs::{SignHeaders, Signs};
@@ -19,16 +18,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-const MISDIRECTED: u16 = 421;
+const STATUS_MISDIRECTED_REQUEST: u16 = 421;
 
-/// A request as one upstream is to get it.
+/// A request as it is sent to one upstream.
 #[derive(Debug)]
-pub struct Outgoing {
+pub struct UpstreamRequest {
     /// The method.
     pub method: http1_types::Method,
-    /// The path with its query, as the caller sent it.
+    /// The path with the query, as the caller sent it.
     pub target: String,
-    /// All headers, those that the router sets included.
+    /// All headers, including those set by the router.
     pub headers: http1_types::HeaderMap,
     /// The whole body.
     pub body: Bytes,
@@ -36,147 +35,147 @@
     pub request_id: String,
 }
 
-/// What came of a try.
+/// The outcome of a try.
 #[derive(Debug)]
-pub enum Tried {
-    /// The upstream's answer begins.
+pub enum TryOutcome {
+    /// The head of the answer has arrived.
     Answered(Box<Answer>),
-    /// The request did not run at this upstream and will not.
-    NotRun(NotRun),
+    /// The request did not run at this upstream and will not run there.
+    NotRun(NotRunReason),
     /// The request may have run.
-    Unknown(Failure),
+    Unknown(UnknownReason),
 }
 
 /// Why a request certainly did not run.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum NotRun {
-    /// No connection came about, so no byte was written.
+pub enum NotRunReason {
+    /// No connection could be opened, so no byte was written.
     NoConnection(String),
-    /// The upstream said to another request that it wants no more, or operators evacuated its hall,
-    /// before a byte was written.
-    NotWanted,
-    /// The upstream said that it did not run the request.
+    /// Before a byte was written, the upstream announced in an answer to another request that it
+    /// takes no more, or operators evacuated its hall.
+    Unavailable,
+    /// The upstream stated that it did not run the request.
     Refused(u16),
     /// Another instance has the address.
     OtherInstance,
 }
 
-/// Why it is not known whether a request ran.
+/// Why it is unknown whether a request ran.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Failure {
+pub enum UnknownReason {
     /// The connection broke.
-    Broken(String),
-    /// The answer belongs to another request or is none of the upstream's.
-    ForeignAnswer(&'static str),
-    /// Nothing came in time.
-    Silent,
+    ConnectionBroken(String),
+    /// The answer belongs to another request or does not come from the upstream.
+    MismatchedAnswer(&'static str),
+    /// No answer arrived in time.
+    TimedOut,
 }
 
-impl fmt::Display for NotRun {
+impl fmt::Display for NotRunReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NoConnection(reason) => write!(f, "no connection: {reason}"),
-            Self::NotWanted => f.write_str("it wants no more requests"),
+            Self::Unavailable => f.write_str("the upstream takes no requests now"),
             Self::Refused(status) => write!(f, "refused with {status}"),
             Self::OtherInstance => f.write_str("another instance has the address"),
         }
     }
 }
 
-impl fmt::Display for Failure {
+impl fmt::Display for UnknownReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Broken(reason) => write!(f, "the connection broke: {reason}"),
-            Self::ForeignAnswer(reason) => write!(f, "not this request's answer: {reason}"),
-            Self::Silent => f.write_str("nothing came in time"),
+            Self::ConnectionBroken(reason) => write!(f, "the connection broke: {reason}"),
+            Self::MismatchedAnswer(reason) => write!(f, "mismatched answer: {reason}"),
+            Self::TimedOut => f.write_str("timed out waiting for the upstream"),
         }
     }
 }
 
-/// An upstream's answer, whose body is still to be read.
+/// An upstream's answer whose body has still to be read.
 #[derive(Debug)]
 pub struct Answer {
     /// The status.
     pub status: u16,
     /// The headers.
     pub headers: http1_types::HeaderMap,
-    /// When the request went out.
-    pub sent: Duration,
-    /// Whether the time to the first event tells how fast the upstream reads.
-    pub tells_rate: bool,
+    /// When the try began.
+    pub sent_at: Duration,
+    /// Whether the time to the first event measures the prefill rate of the upstream.
+    pub measures_prefill_rate: bool,
     body: Incoming,
     connection: Option<Connection>,
     upstream: Rc<Upstream>,
-    unread: Option<Unread>,
+    pending_prefill: Option<PendingPrefill>,
     _load: LoadGuard,
 }
 
-/// The next piece of a body.
+/// The next chunk of a body.
 #[derive(Debug)]
-pub enum Piece {
-    /// Some bytes.
+pub enum BodyChunk {
+    /// Data.
     Bytes(Bytes),
-    /// The body is whole.
+    /// The body is complete.
     End,
-    /// The body broke off.
+    /// The body ended early.
     Broken(String),
 }
 
 impl Answer {
-    /// Reads the next piece of the body; none if patience ran out.
-    pub async fn next_piece_within(
+    /// Reads the next chunk of the body; `None` on a timeout.
+    pub async fn next_chunk_within(
         &mut self,
-        connections: &Connections,
-        patience: Patience,
-    ) -> Option<Piece> {
+        connections: &ConnectionPool,
+        timeout: ResponseTimeout,
+    ) -> Option<BodyChunk> {
         let upstream = self.upstream.clone();
-        patiently(connections, &upstream, patience, self.next_piece()).await
+        with_response_timeout(connections, &upstream, timeout, self.next_chunk()).await
     }
 
-    /// Reads the next piece of the body.
-    pub async fn next_piece(&mut self) -> Piece {
+    /// Reads the next chunk of the body.
+    pub async fn next_chunk(&mut self) -> BodyChunk {
         loop {
             let frame = self.body.frame().await;
-            self.upstream.heard(Now::read());
+            self.upstream.record_data_received(Now::read());
             match frame {
                 Some(Ok(frame)) => match frame.into_data() {
-                    Ok(bytes) => return Piece::Bytes(bytes),
+                    Ok(bytes) => return BodyChunk::Bytes(bytes),
                     Err(_trailers) => {}
                 },
-                Some(Err(err)) => return Piece::Broken(err.to_string()),
-                None => return Piece::End,
+                Some(Err(err)) => return BodyChunk::Broken(err.to_string()),
+                None => return BodyChunk::End,
             }
         }
     }
 
-    /// Reads the whole body, or says why it is not whole.
+    /// Reads the whole body, or returns why it is incomplete.
     pub async fn read_whole(&mut self, limit: usize) -> Result<Bytes, String> {
         let mut whole = bytes::BytesMut::new();
         loop {
-            match self.next_piece().await {
-                Piece::Bytes(bytes) if whole.len() + bytes.len() > limit => {
+            match self.next_chunk().await {
+                BodyChunk::Bytes(bytes) if whole.len() + bytes.len() > limit => {
                     return Err(format!("the answer is larger than {limit} bytes"));
                 }
-                Piece::Bytes(bytes) => whole.extend_from_slice(&bytes),
-                Piece::End => return Ok(whole.freeze()),
-                Piece::Broken(reason) => return Err(reason),
+                BodyChunk::Bytes(bytes) => whole.extend_from_slice(&bytes),
+                BodyChunk::End => return Ok(whole.freeze()),
+                BodyChunk::Broken(reason) => return Err(reason),
             }
         }
     }
 
-    /// Records that the first event came, so that the prompt has been read.
-    pub fn has_read(&mut self) {
-        self.unread = None;
+    /// Records that the first event arrived, so that the prefill is over.
+    pub fn finish_prefill(&mut self) {
+        self.pending_prefill = None;
     }
 
-    /// Returns the upstream that answers.
+    /// Returns the upstream that sent the answer.
     pub fn upstream(&self) -> &Rc<Upstream> {
         &self.upstream
     }
 
-    /// Gives the connection back after a whole body, unless the upstream closes it.
-    pub fn finish(mut self, connections: &Connections, now: Now) {
-        self.upstream.answered(now);
+    /// Returns the connection to the pool after a complete body, unless the upstream closes it.
+    pub fn finish(mut self, connections: &ConnectionPool, now: Now) {
+        self.upstream.record_success(now);
         let closes = self
             .headers
             .get(hyper::header::CONNECTION)
@@ -184,38 +183,38 @@
         if let Some(connection) = self.connection.take()
             && !closes
         {
-            connections.rest(self.upstream.life(), connection, now);
+            connections.release(self.upstream.life(), connection, now);
         }
     }
 }
 
-/// How a try is made.
+/// Options of a try.
 #[derive(Debug, Clone, Copy)]
-pub struct TryLimits {
+pub struct TryOptions {
     /// How long to wait for the head of the answer.
-    pub head: Patience,
-    /// How long the upstream reads the prompt.
-    pub reading: Duration,
-    /// Whether the upstream reads the prompt whole and has nothing else to read, as far as
-    /// is known, so that the time to the first event tells how fast it reads.
-    pub tells_rate: bool,
-    /// Whether a connection that was used before may be used; one may close just as the
-    /// request is written, which leaves open whether it ran.
-    pub may_reuse: bool,
+    pub head_timeout: ResponseTimeout,
+    /// Expected time of the request's prefill.
+    pub prefill: Duration,
+    /// Whether the upstream computes the whole prompt and, as far as is known, nothing else, so
+    /// that the time to the first event measures its prefill rate.
+    pub measures_prefill_rate: bool,
+    /// Whether an idle connection may be reused. The upstream may close it just as the request is
+    /// written, and then it is unknown whether the request ran.
+    pub may_reuse_connection: bool,
 }
 
-/// Makes one try at one upstream.
+/// Sends a request to one upstream and waits for the head of the answer.
 pub async fn try_upstream(
-    connections: &Connections,
-    headers: &Headers,
+    connections: &ConnectionPool,
+    headers: &HeaderNames,
     upstream: &Rc<Upstream>,
-    out: Outgoing,
-    limits: TryLimits,
-) -> Tried {
-    let load = upstream.enter();
-    let unread = upstream.begin_reading(limits.reading);
+    request: UpstreamRequest,
+    options: TryOptions,
+) -> TryOutcome {
+    let load = upstream.begin_request();
+    let pending_prefill = upstream.begin_prefill(options.prefill);
     let began = Now::read();
-    let idle = match limits.may_reuse {
+    let idle = match options.may_reuse_connection {
         true => connections.take_idle(upstream.life(), began),
         false => None,
     };
@@ -224,103 +223,111 @@
         None => match connections.open(upstream, began).await {
             Ok(connection) => connection,
             Err(err) => {
-                upstream.unconnectable(Now::read());
-                return Tried::NotRun(NotRun::NoConnection(err.to_string()));
+                upstream.record_connect_failure(Now::read());
+                return TryOutcome::NotRun(NotRunReason::NoConnection(err.to_string()));
             }
         },
     };
-    let is_wanted = !upstream.says_it_leaves() && !upstream.is_evacuated();
-    if !is_wanted || upstream.is_resting_as_asked(Now::read()) {
-        return Tried::NotRun(NotRun::NotWanted);
+    let takes_requests = !upstream.is_leaving() && !upstream.is_evacuated();
+    if !takes_requests || upstream.is_in_retry_after(Now::read()) {
+        return TryOutcome::NotRun(NotRunReason::Unavailable);
     }
-    let request_id = out.request_id.clone();
-    let req = match build(out) {
+    let request_id = request.request_id.clone();
+    let req = match build_request(request) {
         Ok(req) => req,
-        Err(reason) => return Tried::NotRun(NotRun::NoConnection(reason)),
+        Err(reason) => return TryOutcome::NotRun(NotRunReason::NoConnection(reason)),
     };
-    let sent = patiently(connections, upstream, limits.head, connection.send(req)).await;
+    let answered = with_response_timeout(
+        connections,
+        upstream,
+        options.head_timeout,
+        connection.send(req),
+    )
+    .await;
     let now = Now::read();
-    let res = match sent {
+    let res = match answered {
         Some(Ok(res)) => res,
         Some(Err(err)) => {
             if !connection.is_reused() {
-                upstream.failed(now);
+                upstream.record_failure(now);
             }
-            return Tried::Unknown(Failure::Broken(err.to_string()));
+            return TryOutcome::Unknown(UnknownReason::ConnectionBroken(err.to_string()));
         }
-        None => return Tried::Unknown(Failure::Silent),
+        None => return TryOutcome::Unknown(UnknownReason::TimedOut),
     };
-    upstream.heard(now);
+    upstream.record_data_received(now);
     let (parts, body) = res.into_parts();
-    let text = |name: &http::HeaderName| {
+    let header_text = |name: &http::HeaderName| {
         parts
             .headers
             .get(name.as_str())
             .and_then(|value| value.to_str().ok())
     };
-    if let Some(load) = text(&headers.load).and_then(parse_load) {
-        upstream.reported(load, now);
+    if let Some(load) = header_text(&headers.load).and_then(parse_load) {
+        upstream.record_load_report(load, now);
     }
-    let echoed = text(&headers.request_id);
-    if echoed.is_some_and(|echoed| echoed != request_id) {
-        upstream.failed(now);
-        return Tried::Unknown(Failure::ForeignAnswer("it names another request"));
+    let echoed_id = header_text(&headers.request_id);
+    if echoed_id.is_some_and(|echoed_id| echoed_id != request_id) {
+        upstream.record_failure(now);
+        return TryOutcome::Unknown(UnknownReason::MismatchedAnswer(
+            "it has the id of another request",
+        ));
     }
     let status = parts.status.as_u16();
-    // Another instance speaks for itself.
-    if status == MISDIRECTED {
-        return Tried::NotRun(NotRun::OtherInstance);
+    // The headers of another instance say nothing about this upstream.
+    if status == STATUS_MISDIRECTED_REQUEST {
+        return TryOutcome::NotRun(NotRunReason::OtherInstance);
     }
     let signs = SignHeaders {
-        leaving: text(&headers.leaving),
-        retry_after: text(&RETRY_AFTER),
+        leaving: header_text(&headers.leaving),
+        retry_after: header_text(&RETRY_AFTER),
     };
-    upstream.take_signs(Signs::read(status, signs, now.wall), now);
-    if text(&headers.not_executed).is_some() {
-        return Tried::NotRun(NotRun::Refused(status));
+    upstream.update_from_head(Signs::read(status, signs, now.wall), now);
+    if header_text(&headers.not_executed).is_some() {
+        return TryOutcome::NotRun(NotRunReason::Refused(status));
     }
-    if let Some(reason) = foreign(&parts.headers, headers, parts.status, echoed) {
-        upstream.failed(now);
-        return Tried::Unknown(Failure::ForeignAnswer(reason));
+    if let Some(reason) = mismatch_reason(&parts.headers, headers, parts.status, echoed_id) {
+        upstream.record_failure(now);
+        return TryOutcome::Unknown(UnknownReason::MismatchedAnswer(reason));
     }
-    Tried::Answered(Box::new(Answer {
+    TryOutcome::Answered(Box::new(Answer {
         status,
         headers: parts.headers,
-        sent: began.monotonic,
-        tells_rate: limits.tells_rate,
+        sent_at: began.monotonic,
+        measures_prefill_rate: options.measures_prefill_rate,
         body,
         connection: Some(connection),
         upstream: upstream.clone(),
-        unread: Some(unread),
+        pending_prefill: Some(pending_prefill),
         _load: load,
     }))
 }
 
-/// Says what shows that an answer is not the upstream's answer to this request.
-fn foreign(
-    found: &http1_types::HeaderMap,
-    names: &Headers,
+/// Returns why an answer cannot be this upstream's answer to this request, if it cannot.
+fn mismatch_reason(
+    received: &http1_types::HeaderMap,
+    names: &HeaderNames,
     status: hyper::StatusCode,
-    echoed: Option<&str>,
+    echoed_id: Option<&str>,
 ) -> Option<&'static str> {
-    if found.contains_key(hyper::header::CONTENT_ENCODING) {
-        return Some("its body is encoded, and nobody asked for that");
+    if received.contains_key(hyper::header::CONTENT_ENCODING) {
+        return Some("its body has a content encoding that was not requested");
     }
-    let signed = found.contains_key(names.signature.as_str());
-    match (status.is_success(), signed, echoed.is_some()) {
+    let is_signed = received.contains_key(names.signature.as_str());
+    match (status.is_success(), is_signed, echoed_id.is_some()) {
         (true, false, _) => Some("it has no signature"),
-        (true, true, false) => Some("it names no request"),
-        (false, false, false) => Some("it has neither a signature nor the request's id"),
+        (true, true, false) => Some("it has no request id"),
+        (false, false, false) => Some("it has neither a signature nor a request id"),
         _ => None,
     }
 }
 
-fn build(out: Outgoing) -> Result<http1_types::Request<Full<Bytes>>, String> {
+fn build_request(request: UpstreamRequest) -> Result<http1_types::Request<Full<Bytes>>, String> {
     let mut req = http1_types::Request::builder()
-        .method(out.method)
-        .uri(out.target)
-        .body(Full::new(out.body))
-        .map_err(|err| format!("the request cannot be written: {err}"))?;
-    *req.headers_mut() = out.headers;
+        .method(request.method)
+        .uri(request.target)
+        .body(Full::new(request.body))
+        .map_err(|err| format!("the request cannot be encoded: {err}"))?;
+    *req.headers_mut() = request.headers;
     Ok(req)
 }
--- a/src/gateway/attempt/quarantine.rs
+++ b/src/gateway/attempt/quarantine.rs
@@ -1,6 +1,7 @@
-//! Which requests this box keeps from its upstreams, and what it tells other boxes of them.
+//! Withholds requests that crash their upstreams, and shares what is known of them with other
+//! boxes.
 //!
-//! What is decided stands in [`crate::crash_ledger`]; see `docs/design/quarantine.md`.
+//! The rules are in [`crate::crash_ledger`]; see `docs/design/quarantine.md`.
 
 use crate::clock::Now;
 use crate::crash_ledger::{CrashLedger, CrashRecord, LifeHash, Part, Standing};
@@ -9,70 +10,71 @@
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 
-/// The ledger of a box, and what other boxes have still to be told of it.
+/// A box's crash ledger and the updates for other boxes.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     ledger: RefCell<CrashLedger>,
-    /// What other boxes have still to be told.
-    pub news: Outbox<SuspectNews>,
+    /// Updates that are still to be sent to other boxes.
+    pub outbox: Outbox<QuarantineUpdate>,
 }
 
-/// What boxes tell each other of requests that were at crashes.
+/// What boxes send each other about requests that ran at upstreams when those crashed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum SuspectNews {
-    /// What is known of some requests.
+pub enum QuarantineUpdate {
+    /// The crash records of some requests.
     Records(Vec<CrashRecord>),
-    /// A request is on trial from now on.
+    /// A trial of a request starts: a suspect request is sent once, with no other send of it under
+    /// way.
     TrialBegan(Fingerprint),
-    /// A request's trial ended without telling anything, so that another one may begin.
+    /// A trial of a request ended without a result, so that another one may start.
     TrialEnded(Fingerprint),
 }
 
 impl Quarantine {
-    /// Returns what may be done with a request.
+    /// Returns whether a request may be sent.
     pub fn standing(&self, request: Fingerprint, now: Now) -> Standing {
         self.ledger.borrow().standing(request, now)
     }
 
-    /// Records a request that ran at an upstream when that crashed.
-    pub fn crashed(&self, life: LifeHash, request: Fingerprint, part: Part, now: Now) {
+    /// Records that a request ran at an upstream when that upstream crashed.
+    pub fn record_crash(&self, life: LifeHash, request: Fingerprint, part: Part, now: Now) {
         self.change(request, "crash", now, |ledger| {
             let record = ledger.crashed(life, request, part, now);
-            Some(SuspectNews::Records(vec![record]))
+            Some(QuarantineUpdate::Records(vec![record]))
         });
     }
 
-    /// Records that a request was answered whole.
-    pub fn answered(&self, request: Fingerprint, now: Now) {
+    /// Records that a request was answered completely.
+    pub fn record_answer(&self, request: Fingerprint, now: Now) {
         if self.ledger.borrow().is_empty() {
             return;
         }
         self.change(request, "answer", now, |ledger| {
             let record = ledger.answered(request, now)?;
-            Some(SuspectNews::Records(vec![record]))
+            Some(QuarantineUpdate::Records(vec![record]))
         });
     }
 
-    /// Begins a trial of a request here.
+    /// Starts a trial of a request at this box.
     pub fn begin_trial(&self, request: Fingerprint, now: Now) {
         self.change(request, "trial", now, |ledger| {
             ledger.begin_trial(request, now);
-            Some(SuspectNews::TrialBegan(request))
+            Some(QuarantineUpdate::TrialBegan(request))
         });
     }
 
-    /// Ends a trial that told nothing: the request ran nowhere, or only its connection was lost.
+    /// Ends a trial without a result: the request ran nowhere, or only its connection was lost.
     pub fn end_trial(&self, request: Fingerprint, now: Now) {
         self.change(request, "trial", now, |ledger| {
             ledger.end_trial(request);
-            Some(SuspectNews::TrialEnded(request))
+            Some(QuarantineUpdate::TrialEnded(request))
         });
     }
 
-    /// Takes what another box told.
-    pub fn take(&self, news: SuspectNews, now: Now) {
-        match news {
-            SuspectNews::Records(records) => {
+    /// Applies an update from another box.
+    pub fn apply_peer_update(&self, update: QuarantineUpdate, now: Now) {
+        match update {
+            QuarantineUpdate::Records(records) => {
                 for record in records {
                     self.change(record.request, "box", now, |ledger| {
                         ledger.take(&record, now);
@@ -80,38 +82,39 @@
                     });
                 }
             }
-            SuspectNews::TrialBegan(request) => {
+            QuarantineUpdate::TrialBegan(request) => {
                 self.ledger.borrow_mut().begin_trial(request, now);
             }
-            SuspectNews::TrialEnded(request) => {
+            QuarantineUpdate::TrialEnded(request) => {
                 self.ledger.borrow_mut().end_trial(request);
             }
         }
     }
 
-    /// Returns what every box has to know.
-    pub fn to_tell(&self, now: Now) -> Vec<CrashRecord> {
+    /// Returns the crash records that every box has to know.
+    pub fn records_to_share(&self, now: Now) -> Vec<CrashRecord> {
         self.ledger.borrow().to_tell(now)
     }
 
-    /// Changes the ledger, logs what became of a request by it, and keeps the news to be told.
+    /// Changes the ledger, logs a change of what may be done with the request, and queues the
+    /// update for other boxes.
     fn change(
         &self,
         request: Fingerprint,
         source: &str,
         now: Now,
-        change: impl FnOnce(&mut CrashLedger) -> Option<SuspectNews>,
+        change: impl FnOnce(&mut CrashLedger) -> Option<QuarantineUpdate>,
     ) {
         let before = self.standing(request, now);
-        let news = change(&mut self.ledger.borrow_mut());
+        let update = change(&mut self.ledger.borrow_mut());
         let standing = self.standing(request, now);
         if std::mem::discriminant(&before) != std::mem::discriminant(&standing) {
             let fingerprint = request.to_string();
             let fingerprint = fingerprint.as_str();
             log::warn!(fingerprint, source; "{}", standing.describe());
         }
-        if let Some(news) = news {
-            self.news.push(news);
+        if let Some(update) = update {
+            self.outbox.push(update);
         }
     }
 }
--- a/src/gateway/place/choose.rs
+++ b/src/gateway/place/choose.rs
@@ -1,11 +1,11 @@
-//! Which upstream gets a request.
+//! Chooses the upstream for a request.
 //!
-//! Requests with the same beginning go to the engine that keeps it, since it need not read
-//! it anew; plain requests stay in their hall. Both give way when an upstream is full, fails
-//! or rests. See `docs/design/platform.md`.
+//! Prompts with a shared prefix go to the engine that has the prefix cached, which saves computing
+//! it again; plain requests stay in their hall. Both rules yield when an upstream is full, failing
+//! or in back-off. See `docs/design/platform.md`.
 
-use super::engine_cost::{Beginning, PlaceCost, SharedPrompt, engine_costs};
-use super::keepers::rank;
+use super::cache_affinity::rendezvous_weight;
+use super::engine_cost::{PlacementCost, PrefixSource, SharedPrompt, engine_costs};
 use crate::clock::Now;
 use crate::gateway::attempt::upstream::Upstream;
 use crate::gateway::control::store::UpstreamLife;
@@ -13,69 +13,73 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Fullness that leaving the hall counts for: an upstream of another hall is taken when
-/// the own one is this much fuller. The way costs a millisecond or two each way, about
-/// a tenth of a plain request's work.
-const OTHER_HALL: f64 = 0.35;
-/// Engines that all boxes together compare for the requests of one moment. Each box's
-/// picture of the others' load is old, and older with more boxes; if all compared all
-/// engines, they would all pick the one that looked emptiest.
-const COMPARED_BY_ALL: usize = 90;
-/// The fewest engines that are compared.
-const LEAST_COMPARED: usize = 3;
+/// Penalty for an upstream in another hall, in units of slot utilization: another hall is chosen
+/// once the local upstream is fuller by this much. The network takes one or two milliseconds each
+/// way, about a tenth of the time of a plain request.
+const OTHER_HALL_PENALTY_UTILIZATION: f64 = 0.35;
+/// Number of engines that all boxes together compare at the same moment. A box's view of the load
+/// from other boxes is stale, more so with more boxes; if all boxes compared all engines, they
+/// would all pick the one that looked least loaded.
+const FLEET_COMPARED_ENGINES: usize = 90;
+/// Minimum number of engines that a box compares.
+const MIN_COMPARED_ENGINES: usize = 3;
 
-/// What placement asks of a request.
+/// What a placement decision depends on, besides the candidates.
 #[derive(Debug, Clone, Copy)]
-pub struct Wish<'a> {
-    /// The box's hall.
+pub struct PlacementParams<'a> {
+    /// The hall of this box.
     pub hall: &'a str,
-    /// The prompt, where a model engine is asked.
+    /// The prompt, for requests to model engines.
     pub prompt: Option<SharedPrompt<'a>>,
-    /// The lives of upstreams that were tried already.
+    /// The upstreams that were already tried.
     pub tried: &'a [UpstreamLife],
-    /// A number of the request, which spreads equal choices.
-    pub draw: u64,
-    /// How many engines are compared beside those that keep the prompt's beginning.
-    pub compared: usize,
+    /// A hash of the request, which samples the engines to compare and breaks ties.
+    pub seed: u64,
+    /// How many engines are compared, besides those that have the prefix cached.
+    pub engines_to_compare: usize,
 }
 
-/// The upstream that a request goes to, and what it finds there.
+/// The upstream chosen for a request, and the load expected there.
 #[derive(Debug, Clone)]
-pub struct Choice {
-    /// The upstream.
+pub struct PlacementChoice {
+    /// The chosen upstream.
     pub upstream: Rc<Upstream>,
-    /// How long the upstream reads what other requests have sent.
-    pub ahead: Duration,
-    /// How long it then reads this request's prompt.
-    pub reading: Duration,
-    /// How it comes by the shared beginning of the prompt; read, for plain upstreams.
-    pub beginning: Beginning,
+    /// Expected time that the upstream spends on the prompts of other requests first.
+    pub queue_wait: Duration,
+    /// Expected time of this request's own prefill.
+    pub prefill: Duration,
+    /// Where the engine gets the shared prefix from; `Computed` for plain upstreams.
+    pub prefix_source: PrefixSource,
 }
 
-impl Choice {
-    /// Tells whether the time to the first event shows how fast the engine reads: it reads
-    /// the prompt whole, and nothing else as far as is known.
-    pub fn tells_rate(&self) -> bool {
-        self.beginning == Beginning::Read && self.ahead.is_zero()
+impl PlacementChoice {
+    /// Returns whether the time to the first event measures the prefill rate of the engine: it
+    /// computes the whole prompt and, as far as is known, nothing else.
+    pub fn measures_prefill_rate(&self) -> bool {
+        self.prefix_source == PrefixSource::Computed && self.queue_wait.is_zero()
     }
 }
 
-/// Returns how many engines a box compares, by the number of boxes.
-pub fn compared(boxes: usize) -> usize {
-    (COMPARED_BY_ALL / boxes.max(1)).max(LEAST_COMPARED)
+/// Returns how many engines each box compares, given the number of boxes.
+pub fn engines_to_compare(boxes: usize) -> usize {
+    (FLEET_COMPARED_ENGINES / boxes.max(1)).max(MIN_COMPARED_ENGINES)
 }
 
-/// Chooses an upstream among those that may run a request.
-pub fn choose(candidates: &[Rc<Upstream>], wish: Wish<'_>, now: Now) -> Option<Choice> {
+/// Chooses the cheapest of the candidates that have not been tried.
+pub fn choose_placement(
+    candidates: &[Rc<Upstream>],
+    params: PlacementParams<'_>,
+    now: Now,
+) -> Option<PlacementChoice> {
     let untried: Vec<&Rc<Upstream>> = candidates
         .iter()
-        .filter(|upstream| !wish.tried.contains(upstream.life()))
+        .filter(|upstream| !params.tried.contains(upstream.life()))
         .collect();
-    let costs = match wish.prompt {
-        Some(prompt) => engine_costs(&untried, wish, prompt, now),
-        None => plain_costs(&untried, wish.hall, now),
+    let costs = match params.prompt {
+        Some(prompt) => engine_costs(&untried, params, prompt, now),
+        None => plain_costs(&untried, params.hall, now),
     };
-    let tie = |upstream: &Upstream| std::cmp::Reverse(rank(upstream, wish.draw));
+    let tie = |upstream: &Upstream| std::cmp::Reverse(rendezvous_weight(upstream, params.seed));
     let (upstream, found) =
         untried
             .into_iter()
@@ -84,16 +88,16 @@
                 let by_cost = cost.cost.total_cmp(&other_cost.cost);
                 by_cost.then_with(|| tie(one).cmp(&tie(other)))
             })?;
-    Some(Choice {
+    Some(PlacementChoice {
         upstream: upstream.clone(),
-        ahead: found.ahead,
-        reading: found.reading,
-        beginning: found.beginning,
+        queue_wait: found.queue_wait,
+        prefill: found.prefill,
+        prefix_source: found.prefix_source,
     })
 }
 
-/// Chooses the upstream for a request that may crash it: where the fewest others run, and of these
-/// by the request, so that two such requests seldom meet.
+/// Chooses the upstream for a request that may crash it: the one with the fewest other requests.
+/// Ties are broken by a hash of the request, so that two suspect requests rarely share an upstream.
 pub fn choose_for_trial(
     candidates: &[Rc<Upstream>],
     tried: &[UpstreamLife],
@@ -104,27 +108,32 @@
         .iter()
         .filter(|upstream| !tried.contains(upstream.life()));
     let fewest = untried.min_by_key(|upstream| {
-        let tie = std::cmp::Reverse(rank(upstream, seed));
-        (upstream.rests(now), upstream.occupancy(now), tie)
+        let tie = std::cmp::Reverse(rendezvous_weight(upstream, seed));
+        (upstream.is_backing_off(now), upstream.occupancy(now), tie)
     })?;
     Some(fewest.clone())
 }
 
-/// Returns what each upstream of a plain service would cost, in parts of its slots.
-fn plain_costs(candidates: &[&Rc<Upstream>], hall: &str, now: Now) -> Vec<PlaceCost> {
+/// Returns the cost of each upstream of a plain service, in fractions of its slots.
+fn plain_costs(candidates: &[&Rc<Upstream>], hall: &str, now: Now) -> Vec<PlacementCost> {
     let cost = |upstream: &&Rc<Upstream>| {
-        let is_away = upstream.with_listed(|listed| listed.hall != hall);
-        PlaceCost {
-            cost: upstream.penalty(now) + if is_away { OTHER_HALL } else { 0.0 },
-            ahead: Duration::ZERO,
-            reading: Duration::ZERO,
-            beginning: Beginning::Read,
+        let is_other_hall = upstream.with_listed(|listed| listed.hall != hall);
+        PlacementCost {
+            cost: upstream.penalty(now)
+                + if is_other_hall {
+                    OTHER_HALL_PENALTY_UTILIZATION
+                } else {
+                    0.0
+                },
+            queue_wait: Duration::ZERO,
+            prefill: Duration::ZERO,
+            prefix_source: PrefixSource::Computed,
         }
     };
     candidates.iter().map(cost).collect()
 }
 
-/// Returns a number that a text always gives, to spread requests evenly.
-pub fn draw(text: &str) -> u64 {
+/// Returns a hash of a text that is the same in every box and process.
+pub fn stable_hash(text: &str) -> u64 {
     xxh3_64(text.as_bytes())
 }
--- a/src/gateway/place/engine_cost.rs
+++ b/src/gateway/place/engine_cost.rs
@@ -1,162 +1,171 @@
-//! What it costs to send a prompt to an engine: one sum in one unit, milliseconds of an
-//! engine's time.
+//! Estimates the cost of sending a prompt to an engine, as one sum in milliseconds of engine time.
 //!
-//! Reading prompts fills engines before anything else does, so what a request costs others
-//! counts in the time that it keeps an engine from reading theirs; what is priced otherwise
-//! is weighed against that. See `docs/design/platform.md`.
+//! Prefill (processing the prompt before the first output token) saturates engines before anything
+//! else does. The cost of a request is therefore the time for which it keeps an engine from the
+//! prefill of others, and charged resources are converted to the same unit. See
+//! `docs/design/platform.md`.
 
-use super::choose::Wish;
-use super::keepers::{Keepers, Spread, rank};
+use super::cache_affinity::{CacheReplication, CachingEngines, rendezvous_weight};
+use super::choose::PlacementParams;
 use crate::clock::Now;
 use crate::gateway::attempt::upstream::Upstream;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Milliseconds that reading a token of a shared part anew counts for beyond the time it
-/// takes, whatever the model: it is priced by token, and it drives out what the engine kept.
-/// A shared part of 5,400 tokens is worth a wait of 0.3 s.
-const ANEW_MS: f64 = 0.055;
-/// Milliseconds that fetching a token of a shared part from the engine that keeps it counts
-/// for. The fetch itself takes some milliseconds in all, but what is moved is priced.
+/// Cost in milliseconds for each token of a shared prefix that is computed again, on top of the
+/// time that it takes and for any model: prefill is charged by token, and it evicts other prefixes
+/// from the engine's cache. A prefix of 5,400 tokens is worth a wait of 0.3 s.
+const PREFIX_PREFILL_COST_MS_PER_TOKEN: f64 = 0.055;
+/// Cost in milliseconds for each token of a shared prefix that is fetched from the engine that has
+/// it cached. The transfer itself takes only some milliseconds, but the bytes moved are charged
+/// for.
 ///
-/// Fetching makes engines equal for a shared part, so that the idle one can be taken: callers
-/// wait less, and more of them get answers of the large model.
-const FETCHED_MS: f64 = 0.045;
-/// Milliseconds that each kilobyte of a request counts for which leaves the hall.
+/// Fetching makes all engines equal for a prefix, so that an idle one can be chosen. Callers wait
+/// less, and more of them get answers of the large model.
+const PREFIX_FETCH_COST_MS_PER_TOKEN: f64 = 0.045;
+/// Cost in milliseconds for each kilobyte of a request that is sent to another hall.
 ///
-/// Bytes between halls are priced; models that read fast keep beginnings in each hall, so that
-/// their requests need not leave it.
-const AWAY_MS: f64 = 14.0;
-/// Milliseconds that an engine's slots count for when they are full. An engine slows down
-/// little with the number of its requests, so this matters only near the last slots.
-const SLOTS_MS: f64 = 220.0;
-/// Milliseconds that a request out of slots waits for at least: an engine that has none free
-/// is taken only when all others are worse.
-const NO_SLOT_MS: f64 = 11_000.0;
-/// Milliseconds by which an engine that is not compared looks dearer: it is taken only when
-/// all that are compared rest, fail or are full.
-const NOT_COMPARED_MS: f64 = 5_500.0;
-/// Milliseconds that one unit of penalty for failures and rest counts for.
-const PENALTY_MS: f64 = 1_100.0;
-/// The bytes of a kilobyte.
-const KILOBYTE: f64 = 1000.0;
+/// Traffic between halls is charged for. Models with a fast prefill have their prefixes cached in
+/// each hall, so their requests need not leave it.
+const CROSS_HALL_COST_MS_PER_KB: f64 = 14.0;
+/// Cost in milliseconds of an engine whose slots are all in use; lower utilization costs
+/// proportionally less. An engine slows down little with the number of its requests, so this
+/// matters only for the last free slots.
+const FULL_SLOTS_COST_MS: f64 = 220.0;
+/// Cost in milliseconds of an engine without a free slot, multiplied by its slot utilization: such
+/// an engine is chosen only if all others are worse.
+const NO_FREE_SLOT_COST_MS: f64 = 11_000.0;
+/// Cost in milliseconds added to engines outside of the compared sample: they are chosen only if
+/// all compared engines are in back-off, failing or full.
+const NOT_COMPARED_COST_MS: f64 = 5_500.0;
+/// Cost in milliseconds of one unit of the penalty for failures and back-off.
+const PENALTY_UNIT_COST_MS: f64 = 1_100.0;
+/// Number of bytes in a kilobyte.
+const BYTES_PER_KB: f64 = 1000.0;
 
-/// A prompt whose beginning other requests share.
+/// A prompt that shares a prefix with other requests.
 #[derive(Debug, Clone, Copy)]
 pub struct SharedPrompt<'a> {
-    /// What names the shared beginning and the model.
-    pub shared: &'a str,
-    /// How many engines are expected to keep that beginning.
-    pub spread: Spread,
-    /// How long an engine that has kept nothing of it reads the prompt.
-    pub whole: Duration,
-    /// How long an engine that has kept the shared beginning reads the rest.
-    pub rest: Duration,
-    /// The tokens of the shared beginning.
+    /// Identifies the shared prefix and the model.
+    pub prefix_key: &'a str,
+    /// How many engines are expected to have the prefix cached.
+    pub replication: CacheReplication,
+    /// Prefill time on an engine that has none of the prompt cached.
+    pub full_prefill: Duration,
+    /// Prefill time on an engine that has the shared prefix cached.
+    pub suffix_prefill: Duration,
+    /// Number of tokens in the shared prefix.
     pub shared_tokens: f64,
-    /// The bytes of the request.
-    pub bytes: usize,
+    /// Size of the request body in bytes.
+    pub request_bytes: usize,
 }
 
 impl SharedPrompt<'_> {
-    /// Returns what fetching the shared beginning costs, if that is less than the time that
-    /// reading it takes.
-    fn fetching(&self) -> Option<f64> {
-        let fetching = self.shared_tokens * FETCHED_MS;
-        let saved = millis(self.whole.saturating_sub(self.rest));
-        (fetching < saved).then_some(fetching)
+    /// Returns the cost of fetching the shared prefix, or `None` if computing it takes less time
+    /// than that.
+    fn fetch_cost_ms(&self) -> Option<f64> {
+        let cost_ms = self.shared_tokens * PREFIX_FETCH_COST_MS_PER_TOKEN;
+        let saved_ms = millis(self.full_prefill.saturating_sub(self.suffix_prefill));
+        (cost_ms < saved_ms).then_some(cost_ms)
     }
 }
 
-/// How an engine comes by the shared beginning of a prompt.
+/// Where an engine gets the shared prefix of a prompt from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Beginning {
-    /// It is expected to have kept it.
-    Kept,
-    /// It fetches it from the engine at this address, which is expected to have kept it.
+pub enum PrefixSource {
+    /// Expected to be in its own cache.
+    Cached,
+    /// Fetched from the engine at this address, which is expected to have it cached.
     Fetched(SocketAddr),
-    /// It reads it.
-    Read,
+    /// Computed by the engine itself.
+    Computed,
 }
 
-impl Beginning {
-    /// Returns the name that logs give it.
+impl PrefixSource {
+    /// Returns the name used in logs.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Kept => "kept",
+            Self::Cached => "kept",
             Self::Fetched(_) => "fetched",
-            Self::Read => "read",
+            Self::Computed => "read",
         }
     }
 }
 
-/// What a request costs and finds at an upstream.
+/// Estimated cost of a request at one upstream, and its parts.
 #[derive(Debug, Clone, Copy)]
-pub struct PlaceCost {
-    /// The sum by which upstreams are compared: in milliseconds of an engine, or in parts of
-    /// a plain upstream's slots.
+pub struct PlacementCost {
+    /// The sum by which upstreams are compared: in milliseconds of engine time, or in fractions of
+    /// the slots of a plain upstream.
     pub cost: f64,
-    /// How long the engine reads what other requests have sent.
-    pub ahead: Duration,
-    /// How long it then reads this prompt.
-    pub reading: Duration,
-    /// How it comes by the shared beginning.
-    pub beginning: Beginning,
+    /// Time that the engine first spends on the prompts of other requests.
+    pub queue_wait: Duration,
+    /// This prompt's own prefill time.
+    pub prefill: Duration,
+    /// Where the engine gets the shared prefix from.
+    pub prefix_source: PrefixSource,
 }
 
-/// Returns what a prompt would cost at each engine.
+/// Returns the cost of a prompt at each engine.
 ///
-/// All engines but a few, drawn by the request, and those that keep the prompt's beginning,
-/// are so dear that they are not taken.
+/// Only a sample of engines, selected by a hash of the request, and the engines that have the
+/// prefix cached are compared; all others get a cost so high that they are a last resort.
 pub fn engine_costs(
     candidates: &[&Rc<Upstream>],
-    wish: Wish<'_>,
+    params: PlacementParams<'_>,
     prompt: SharedPrompt<'_>,
     now: Now,
-) -> Vec<PlaceCost> {
-    let keepers = Keepers::among(candidates, prompt.shared, prompt.spread);
-    let givers = givers(candidates, &keepers, prompt, now);
-    let last_drawn = nth_rank(candidates, wish.draw, wish.compared);
+) -> Vec<PlacementCost> {
+    let caching_engines = CachingEngines::among(candidates, prompt.prefix_key, prompt.replication);
+    let fetch_sources = fetch_sources(candidates, &caching_engines, prompt, now);
+    let min_weight = nth_weight(candidates, params.seed, params.engines_to_compare);
     let cost = |upstream: &&Rc<Upstream>| {
-        let beginning = beginning(&keepers, &givers, upstream);
-        let is_drawn = rank(upstream, wish.draw) >= last_drawn;
-        let is_compared = is_drawn || beginning == Beginning::Kept;
-        let mut found = engine_cost(upstream, wish.hall, prompt, beginning, now);
+        let prefix_source = prefix_source(&caching_engines, &fetch_sources, upstream);
+        let is_sampled = rendezvous_weight(upstream, params.seed) >= min_weight;
+        let is_compared = is_sampled || prefix_source == PrefixSource::Cached;
+        let mut found = engine_cost(upstream, params.hall, prompt, prefix_source, now);
         if !is_compared {
-            found.cost += NOT_COMPARED_MS;
+            found.cost += NOT_COMPARED_COST_MS;
         }
         found
     };
     candidates.iter().map(cost).collect()
 }
 
-/// Returns the engines from which others may fetch a prompt's shared beginning: none where
-/// fetching does not pay.
-fn givers<'a>(
+/// Returns the engines that others can fetch the shared prefix from; empty if fetching does not pay
+/// off.
+fn fetch_sources<'a>(
     candidates: &[&'a Rc<Upstream>],
-    keepers: &Keepers,
+    caching_engines: &CachingEngines,
     prompt: SharedPrompt<'_>,
     now: Now,
 ) -> Vec<&'a Rc<Upstream>> {
-    if prompt.fetching().is_none() {
+    if prompt.fetch_cost_ms().is_none() {
         return Vec::new();
     }
-    let can_give = |upstream: &&Rc<Upstream>| keepers.contain(upstream) && !upstream.rests(now);
-    candidates.iter().copied().filter(can_give).collect()
+    let can_serve = |upstream: &&Rc<Upstream>| {
+        caching_engines.contain(upstream) && !upstream.is_backing_off(now)
+    };
+    candidates.iter().copied().filter(can_serve).collect()
 }
 
-/// Tells how an engine would come by a prompt's shared beginning.
-fn beginning(keepers: &Keepers, givers: &[&Rc<Upstream>], upstream: &Upstream) -> Beginning {
-    if keepers.contain(upstream) {
-        return Beginning::Kept;
+/// Returns where an engine would get the shared prefix from. It can be fetched only from an engine
+/// with the same weights.
+fn prefix_source(
+    caching_engines: &CachingEngines,
+    fetch_sources: &[&Rc<Upstream>],
+    upstream: &Upstream,
+) -> PrefixSource {
+    if caching_engines.contain(upstream) {
+        return PrefixSource::Cached;
     }
-    let has_same_weights = |giver: &&&Rc<Upstream>| {
-        upstream.with_listed(|own| giver.with_listed(|listed| listed.version == own.version))
+    let has_same_weights = |source: &&&Rc<Upstream>| {
+        upstream.with_listed(|own| source.with_listed(|listed| listed.version == own.version))
     };
-    match givers.iter().find(has_same_weights) {
-        Some(giver) => Beginning::Fetched(giver.with_listed(|listed| listed.address)),
-        None => Beginning::Read,
+    match fetch_sources.iter().find(has_same_weights) {
+        Some(source) => PrefixSource::Fetched(source.with_listed(|listed| listed.address)),
+        None => PrefixSource::Computed,
     }
 }
 
@@ -164,42 +173,56 @@
     upstream: &Rc<Upstream>,
     hall: &str,
     prompt: SharedPrompt<'_>,
-    beginning: Beginning,
+    prefix_source: PrefixSource,
     now: Now,
-) -> PlaceCost {
-    let (reading, getting) = match beginning {
-        Beginning::Kept => (prompt.rest, 0.0),
-        Beginning::Fetched(_) => (prompt.rest, prompt.fetching().unwrap_or_default()),
-        Beginning::Read => (prompt.whole, prompt.shared_tokens * ANEW_MS),
+) -> PlacementCost {
+    let (prefill, prefix_cost_ms) = match prefix_source {
+        PrefixSource::Cached => (prompt.suffix_prefill, 0.0),
+        PrefixSource::Fetched(_) => (
+            prompt.suffix_prefill,
+            prompt.fetch_cost_ms().unwrap_or_default(),
+        ),
+        PrefixSource::Computed => (
+            prompt.full_prefill,
+            prompt.shared_tokens * PREFIX_PREFILL_COST_MS_PER_TOKEN,
+        ),
     };
-    let is_away = upstream.with_listed(|listed| listed.hall != hall);
-    let away = match is_away {
-        true => prompt.bytes as f64 / KILOBYTE * AWAY_MS,
+    let is_other_hall = upstream.with_listed(|listed| listed.hall != hall);
+    let transfer_cost_ms = match is_other_hall {
+        true => prompt.request_bytes as f64 / BYTES_PER_KB * CROSS_HALL_COST_MS_PER_KB,
         false => 0.0,
     };
-    let fullness = upstream.fullness(now);
-    let slots = match fullness < 1.0 {
-        true => fullness * SLOTS_MS,
-        false => fullness * NO_SLOT_MS,
+    let slot_utilization = upstream.slot_utilization(now);
+    let slot_cost_ms = match slot_utilization < 1.0 {
+        true => slot_utilization * FULL_SLOTS_COST_MS,
+        false => slot_utilization * NO_FREE_SLOT_COST_MS,
     };
-    let troubles = (upstream.penalty(now) - fullness) * PENALTY_MS;
-    let ahead = upstream.unread(now);
-    PlaceCost {
-        cost: millis(ahead) + millis(reading) + getting + away + slots + troubles,
-        ahead,
-        reading,
-        beginning,
+    let health_cost_ms = (upstream.penalty(now) - slot_utilization) * PENALTY_UNIT_COST_MS;
+    let queue_wait = upstream.pending_prefill(now);
+    PlacementCost {
+        cost: millis(queue_wait)
+            + millis(prefill)
+            + prefix_cost_ms
+            + transfer_cost_ms
+            + slot_cost_ms
+            + health_cost_ms,
+        queue_wait,
+        prefill,
+        prefix_source,
     }
 }
 
-/// Returns the rank of the engine at a place, counted from one, in the order of a seed.
-fn nth_rank(candidates: &[&Rc<Upstream>], seed: u64, place: usize) -> u64 {
-    let mut ranks: Vec<u64> = candidates
+/// Returns the weight at a position, counted from one, in descending order of rendezvous weights.
+fn nth_weight(candidates: &[&Rc<Upstream>], seed: u64, position: usize) -> u64 {
+    let mut weights: Vec<u64> = candidates
         .iter()
-        .map(|upstream| rank(upstream, seed))
+        .map(|upstream| rendezvous_weight(upstream, seed))
         .collect();
-    ranks.sort_unstable_by_key(|rank| std::cmp::Reverse(*rank));
-    ranks.get(place.saturating_sub(1)).copied().unwrap_or(0)
+    weights.sort_unstable_by_key(|weight| std::cmp::Reverse(*weight));
+    weights
+        .get(position.saturating_sub(1))
+        .copied()
+        .unwrap_or(0)
 }
 
 fn millis(duration: Duration) -> f64 {
--- a/src/gateway/versions/recording.rs
+++ b/src/gateway/versions/recording.rs
@@ -8,12 +8,12 @@
 use crate::clock::Now;
 use crate::gateway::Gateway;
 use crate::gateway::admit::job::Job;
-use crate::gateway::attempt::exchange::{Answer, Tried};
+use crate::gateway::attempt::exchange::{Answer, TryOutcome};
 use crate::gateway::attempt::upstream::Upstream;
 use crate::gateway::control::leading::{is_in_line, target_name};
 use crate::gateway::control::rollout::Rollout;
-use crate::gateway::place::choose::Choice;
-use crate::gateway::place::reading;
+use crate::gateway::place::choose::PlacementChoice;
+use crate::gateway::place::prefill_rate;
 use std::time::Duration;
 
 /// How long after its own start a box sends no requests to an unproven version: three intervals at
@@ -29,12 +29,13 @@
     pub fn start_response_timer(
         &self,
         job: &Job,
-        choice: &Choice,
+        choice: &PlacementChoice,
         now: Now,
     ) -> Option<ResponseTimer> {
         let (metric, unit_seconds) = match job.route.kind.stream_gap() {
             Some(_) => {
-                let expected = reading::FIXED + choice.ahead + choice.reading;
+                let expected =
+                    prefill_rate::FIRST_EVENT_OVERHEAD + choice.queue_wait + choice.prefill;
                 (LatencyMetric::HeadDelay, expected.as_secs_f64())
             }
             None => (LatencyMetric::ResponseTime, 1.0),
@@ -49,12 +50,12 @@
         let timer = versions
             .local_statistics()
             .start_timer(request, kind, unit_seconds, now);
-        (metric == LatencyMetric::HeadDelay || job.tries.runs() == 0).then_some(timer)
+        (metric == LatencyMetric::HeadDelay || job.tries.possible_runs() == 0).then_some(timer)
     }
 
     /// Records the outcome of a try at an engine: its response head, or a failure of the engine.
-    pub fn record_head(&self, tried: &Tried, timer: Option<ResponseTimer>, now: Now) {
-        let (Some(timer), Tried::Answered(answer)) = (timer, tried) else {
+    pub fn record_head(&self, tried: &TryOutcome, timer: Option<ResponseTimer>, now: Now) {
+        let (Some(timer), TryOutcome::Answered(answer)) = (timer, tried) else {
             return;
         };
         if !(200..300).contains(&answer.status) {
@@ -94,10 +95,10 @@
     /// Records the first event of a response.
     pub fn record_first_event(&self, job: &Job, answer: &Answer, model: &str, now: Now) {
         let upstream = answer.upstream();
-        let took = now.monotonic.saturating_sub(answer.sent);
+        let took = now.monotonic.saturating_sub(answer.sent_at);
         self.telemetry
-            .first_event(job, model, took, upstream.unread(now));
-        if answer.tells_rate {
+            .first_event(job, model, took, upstream.pending_prefill(now));
+        if answer.measures_prefill_rate {
             self.learn_rate(&job.service, model, job.prompt.reading_tokens(), took);
         }
         upstream.with_listed(|listed| {
--- a/src/gateway/versions/rollout.rs
+++ b/src/gateway/versions/rollout.rs
@@ -10,7 +10,7 @@
 use crate::clock::{Now, millis};
 use crate::gateway::control::rollout::{Rollout, TIME_WRITTEN_EACH};
 use crate::gateway::control::store::{ALL_SESSIONS, RolloutOrder, RolloutRecord, RolloutState};
-use crate::gateway::place::choose::draw;
+use crate::gateway::place::choose::stable_hash;
 use std::time::Duration;
 
 /// How long a rollout record may be overdue before the next box in line takes over. This covers a
@@ -111,7 +111,8 @@
         RolloutState::Running => {
             let elapsed = rollout.elapsed(now).unwrap_or_default();
             let is_first_half = elapsed < order.duration / 2;
-            let by_stage = draw(query.session) % SESSION_BUCKETS < u64::from(record.permille);
+            let by_stage =
+                stable_hash(query.session) % SESSION_BUCKETS < u64::from(record.permille);
             let target = match query.session_version {
                 Some(session_version) if session_version == order.target => true,
                 Some(_) if is_first_half => false,
--- a/src/gateway/versions/session_versions.rs
+++ b/src/gateway/versions/session_versions.rs
@@ -7,7 +7,7 @@
 use super::rollout::may_move_in_first_stage;
 use crate::clock::Now;
 use crate::gateway::control::store::RolloutOrder;
-use crate::gateway::place::choose::draw;
+use crate::gateway::place::choose::stable_hash;
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
@@ -40,7 +40,7 @@
         if self.versions.len() >= MAX_SESSIONS {
             self.remove_expired(now);
         }
-        let session = draw(session);
+        let session = stable_hash(session);
         if self.versions.len() < MAX_SESSIONS || self.versions.contains_key(&session) {
             let entry = (version.to_owned(), now.monotonic);
             self.versions.insert(session, entry);
@@ -49,7 +49,7 @@
 
     /// Returns the version that served a session, unless the session has expired.
     pub fn current_version(&self, session: &str, now: Now) -> Option<&str> {
-        let (version, at) = self.versions.get(&draw(session))?;
+        let (version, at) = self.versions.get(&stable_hash(session))?;
         let is_active = now.monotonic.saturating_sub(*at) < self.idle_timeout;
         is_active.then_some(version.as_str())
     }
@@ -58,7 +58,7 @@
     pub fn stays_on_old_version(&self, session: &str, order_revision: u64) -> bool {
         self.kept_on_old
             .get(&order_revision)
-            .is_some_and(|kept_on_old| kept_on_old.contains(&draw(session)))
+            .is_some_and(|kept_on_old| kept_on_old.contains(&stable_hash(session)))
     }
 
     /// Adds sessions that the old version serves according to another box.
--- a/tests/gateway/rollout_simulation.rs
+++ b/tests/gateway/rollout_simulation.rs
@@ -12,7 +12,7 @@
 use super::cases;
 use gatepier::clock::{Now, WallTime};
 use gatepier::gateway::control::store::{RolloutOrder, RolloutRecord, RolloutState};
-use gatepier::gateway::place::choose::draw;
+use gatepier::gateway::place::choose::stable_hash;
 use gatepier::gateway::versions::exposure::{ExposureBound, RolloutTime};
 use gatepier::gateway::versions::local_statistics::{ResponseTimer, window_at};
 use gatepier::gateway::versions::monitor::{RolloutStatus, Verdict, VersionMonitor};
@@ -316,7 +316,8 @@
         let permille = self.boxes[box_index]
             .record(at)
             .map_or(0, |record| record.permille);
-        let is_by_engine = |engines| draw(&format!("engine of {id}")).is_multiple_of(engines);
+        let is_by_engine =
+            |engines| stable_hash(&format!("engine of {id}")).is_multiple_of(engines);
         is_by_version && permille >= self.scenario.slowed_from_permille
             || self.scenario.slow_engine_one_in.is_some_and(is_by_engine)
     }
@@ -333,7 +334,7 @@
         let is_rejected = box_model.monitor.rejection(ORDER).is_some();
         let by_stage = |record: &RolloutRecord| {
             let is_running = record.state == RolloutState::Running && !is_rejected;
-            let is_moved = draw(&id.to_string()) % 1000 < u64::from(record.permille);
+            let is_moved = stable_hash(&id.to_string()) % 1000 < u64::from(record.permille);
             record.state == RolloutState::Done || is_running && is_moved
         };
         box_model.record(at).is_some_and(by_stage)
