--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -33,13 +33,13 @@
 use attempt::protocol::Headers;
 use attempt::quarantine::Quarantine;
 use attempt::retries::RetryWindow;
-use control::knowledge::{Knowledge, Proof};
 use control::mirror::Mirror;
+use control::state::{ConfigFreshness, ControlPlaneState};
 use control::store::ControlStore;
-use control::{follow, leading};
-use peers::asking::Asking;
-use peers::heard::Heard;
-use peers::hubs::{Hubs, choose_hubs};
+use control::{rollout_leader, store_sync};
+use peers::hub_poller::HubPoller;
+use peers::hubs::{HubState, choose_hubs};
+use peers::liveness::PeerLiveness;
 use peers::messages;
 use peers::outbox::Outbox;
 use place::loads::{Loads, LongReads};
@@ -77,13 +77,13 @@
     /// The names of the deployment's headers.
     pub headers: Headers,
     /// What the box knows.
-    pub knowledge: RefCell<Knowledge>,
+    pub knowledge: RefCell<ControlPlaneState>,
     /// The store's items, to be passed on.
     pub mirror: RefCell<Mirror>,
     /// How boxes pass on what the store holds.
-    pub hubs: Hubs,
+    pub hubs: HubState,
     /// What this box asks the hubs and fetches.
-    pub asking: Asking,
+    pub asking: HubPoller,
     /// Rings when the store's items have changed.
     pub news: Notify,
     /// Resting connections to upstreams.
@@ -101,7 +101,7 @@
     /// The versions of sessions.
     pub sessions: RefCell<Sessions>,
     /// When other boxes were heard of.
-    pub heard: RefCell<Heard>,
+    pub heard: RefCell<PeerLiveness>,
     /// What was seen of versions under roll-out.
     pub versions: RefCell<VersionWatch>,
     /// How fast engines read prompts.
@@ -138,8 +138,8 @@
             headers,
             knowledge: RefCell::default(),
             mirror: RefCell::default(),
-            hubs: Hubs::default(),
-            asking: Asking::default(),
+            hubs: HubState::default(),
+            asking: HubPoller::default(),
             news: Notify::new(),
             connections: Connections::default(),
             crashes: CrashWatch::default(),
@@ -233,7 +233,7 @@
         loop {
             // Made before the look, so that no news in between is missed.
             let news = self.news.notified();
-            if self.knowledge.borrow().is_proved() {
+            if self.knowledge.borrow().has_confirmed_routes() {
                 return;
             }
             news.await;
@@ -250,15 +250,15 @@
     }
 
     /// Returns what this box may say by the configuration that it has.
-    pub fn proof(&self, now: Now) -> Proof {
+    pub fn proof(&self, now: Now) -> ConfigFreshness {
         let settings = self.settings();
-        self.knowledge.borrow().proof(&settings.bounds, now)
+        self.knowledge.borrow().freshness(&settings.bounds, now)
     }
 
     /// Records that everything acknowledged before a moment is known; the first time is news
     /// to whoever waits for it.
     pub fn confirm(&self, as_of: Duration) {
-        let was_proved = self.knowledge.borrow().is_proved();
+        let was_proved = self.knowledge.borrow().has_confirmed_routes();
         self.knowledge.borrow_mut().confirm(as_of);
         if !was_proved {
             self.news.notify_waiters();
@@ -314,7 +314,7 @@
     pub fn other_boxes(&self) -> Vec<SocketAddr> {
         let own = self.settings().peers;
         let knowledge = self.knowledge.borrow();
-        let boxes = knowledge.boxes_by_age().into_iter();
+        let boxes = knowledge.boxes_by_registration().into_iter();
         let addresses = boxes.map(|entry| entry.address);
         addresses.filter(|address| *address != own).collect()
     }
@@ -405,11 +405,11 @@
     let stopping = listen::Stopping::catch()?;
     let server = listen::serve_callers(&gw)?;
     listen::serve_readiness(&gw, &metrics)?;
-    actix_rt::spawn(follow::follow(gw.clone(), store.clone()));
+    actix_rt::spawn(store_sync::sync_with_store(gw.clone(), store.clone()));
     actix_rt::spawn(probe::probe_unconnectable(gw.clone()));
     actix_rt::spawn(crash::check_upstreams(gw.clone()));
-    actix_rt::spawn(leading::lead(gw.clone(), store.clone()));
-    actix_rt::spawn(follow::tidy(gw.clone()));
+    actix_rt::spawn(rollout_leader::lead_rollouts(gw.clone(), store.clone()));
+    actix_rt::spawn(store_sync::expire_old_state(gw.clone()));
     let exchange = messages::exchange(gw.clone(), store.clone());
     actix_rt::spawn(async move {
         if let Err(err) = exchange.await {
--- a/src/gateway/admit/job.rs
+++ b/src/gateway/admit/job.rs
@@ -366,12 +366,12 @@
     fn record(&self, gw: &Gateway, choice: &Choice, tried: &Tried, plan: TryPlan<'_>) {
         self.tries.record(tried);
         if choice.upstream.says_it_leaves() {
-            gw.hear_leaving(&choice.upstream, Now::read());
+            gw.note_upstream_leaving(&choice.upstream, Now::read());
         }
         if matches!(tried, Tried::NotRun(NotRun::OtherInstance)) {
             gw.knowledge
                 .borrow_mut()
-                .forget_upstream(choice.upstream.life());
+                .remove_upstream(choice.upstream.life());
         }
         match tried {
             Tried::Unknown(Failure::Broken(_)) => {
--- a/src/gateway/admit/serve.rs
+++ b/src/gateway/admit/serve.rs
@@ -11,7 +11,7 @@
 use crate::gateway::answer::stream::{self, Begun};
 use crate::gateway::attempt::connect::http1_types;
 use crate::gateway::attempt::tries::Tries;
-use crate::gateway::control::knowledge::Proof;
+use crate::gateway::control::state::ConfigFreshness;
 use crate::gateway::place::choose::draw;
 use crate::gateway::settings::UnprovedKeys;
 use crate::gateway::{FirstWait, Gateway};
@@ -141,19 +141,23 @@
 /// That a route or a key does not exist is only said while what is known is proved to be
 /// the newest: the operators may have added it since. A box that has known for too long
 /// that there is something newer serves nothing by what it has.
-pub fn check(caller: Option<Caller<'_>>, proof: Proof, unproved: UnprovedKeys) -> Result<(), Why> {
-    if proof == Proof::Outdated {
+pub fn check(
+    caller: Option<Caller<'_>>,
+    proof: ConfigFreshness,
+    unproved: UnprovedKeys,
+) -> Result<(), Why> {
+    if proof == ConfigFreshness::Outdated {
         return Err(Why::Stale);
     }
     match (caller, proof) {
         (Some(Caller::Anonymous), _) => Ok(()),
-        (Some(Caller::Known(_)), Proof::Newest | Proof::KeysHold) => Ok(()),
+        (Some(Caller::Known(_)), ConfigFreshness::Current | ConfigFreshness::KeysValid) => Ok(()),
         (Some(Caller::Known(_)), _) => match unproved {
             UnprovedKeys::ServeKnown => Ok(()),
             UnprovedKeys::Refuse => Err(Why::Stale),
         },
-        (None, Proof::Newest) => Err(Why::NoRoute),
-        (Some(Caller::Unknown), Proof::Newest) => Err(Why::UnknownKey),
+        (None, ConfigFreshness::Current) => Err(Why::NoRoute),
+        (Some(Caller::Unknown), ConfigFreshness::Current) => Err(Why::UnknownKey),
         (None | Some(Caller::Unknown), _) => Err(Why::Stale),
     }
 }
--- a/src/gateway/control/first_reads.rs
+++ b/src/gateway/control/initial_sync.rs
@@ -7,8 +7,8 @@
 //! without end: each box has a turn at which it reads the store by itself if nothing has come
 //! until then. See `docs/design/starting.md`.
 
-use super::follow::{read_everything, take_changes};
 use super::store::{BoxEntry, ControlStore, RegisteredBox};
+use super::store_sync::{apply_changes, read_everything};
 use crate::clock::{Now, millis};
 use crate::gateway::Gateway;
 use crate::gateway::peers::fetch::{Everything, Progress, fetch_everything};
@@ -249,10 +249,10 @@
     let as_of = told.as_of(asked);
     let unpacked = gw.mirror.borrow().unpack(told.changes.clone());
     let changes = match unpacked {
-        Ok(changes) if changes.is_all && changes.revision > 0 => changes,
+        Ok(changes) if changes.is_snapshot && changes.revision > 0 => changes,
         _ => return false,
     };
-    take_changes(gw, store, changes, "first");
+    apply_changes(gw, store, changes, "first");
     if let Some(as_of) = as_of {
         gw.confirm(as_of);
     }
--- a/src/gateway/control/membership.rs
+++ b/src/gateway/control/membership.rs
@@ -112,7 +112,7 @@
 pub fn place_in_line(gw: &Gateway, now: Now) -> Option<usize> {
     let own = gw.settings().peers;
     let knowledge = gw.knowledge.borrow();
-    let boxes = knowledge.boxes_by_age();
+    let boxes = knowledge.boxes_by_registration();
     let lively = gw.heard.borrow().lively(&boxes, own, now);
     let hears_enough = lively.len() * 2 > boxes.len();
     let place = lively.iter().position(|entry| entry.address == own);
--- a/src/gateway/control/mirror.rs
+++ b/src/gateway/control/mirror.rs
@@ -36,12 +36,12 @@
 /// Items that bring a box from one revision to another, packed.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PackedChanges {
-    /// The receiver has to have reached this revision, or else to take `is_all`.
+    /// The receiver has to have reached this revision, or else to take `is_snapshot`.
     pub after: u64,
     /// The revision that is reached with them.
     pub revision: u64,
     /// Whether these are all items there are, so that others are gone.
-    pub is_all: bool,
+    pub is_snapshot: bool,
     /// The items.
     pub items: Vec<PackedItem>,
 }
@@ -75,12 +75,12 @@
 /// Items that bring a box from one revision to another.
 #[derive(Debug, Clone)]
 pub struct Changes {
-    /// The receiver has to have reached this revision, or else to take `is_all`.
+    /// The receiver has to have reached this revision, or else to take `is_snapshot`.
     pub after: u64,
     /// The revision that is reached with them.
     pub revision: u64,
     /// Whether these are all items there are, so that others are gone.
-    pub is_all: bool,
+    pub is_snapshot: bool,
     /// The items.
     pub items: Vec<Item>,
 }
@@ -161,9 +161,9 @@
     ///
     /// A box that could not use a difference asks for items as a whole.
     pub fn changes_after(&mut self, after: u64, as_a_whole: bool) -> PackedChanges {
-        let is_all = after < self.floor || after == 0;
+        let is_snapshot = after < self.floor || after == 0;
         let newer = (after.saturating_add(1), String::new())..;
-        let wanted: Vec<&Item> = match is_all {
+        let wanted: Vec<&Item> = match is_snapshot {
             true => self.items.values().filter(|item| !item.is_gone()).collect(),
             false => self
                 .by_revision
@@ -178,7 +178,7 @@
                 continue;
             }
             let earlier = self.earlier.get(&item.key).map_or(&[][..], Vec::as_slice);
-            let base = match is_all || as_a_whole {
+            let base = match is_snapshot || as_a_whole {
                 true => None,
                 false => state_at(earlier, after),
             };
@@ -191,7 +191,7 @@
         PackedChanges {
             after,
             revision: self.revision,
-            is_all,
+            is_snapshot,
             items,
         }
     }
@@ -209,7 +209,7 @@
         Ok(Changes {
             after: packed.after,
             revision: packed.revision,
-            is_all: packed.is_all,
+            is_snapshot: packed.is_snapshot,
             items,
         })
     }
--- a/src/gateway/control/rollout.rs
+++ b/src/gateway/control/rollout.rs
@@ -7,7 +7,7 @@
 /// How often the time since the order is written down, in hundredths of the roll-out's time:
 /// boxes that are all killed together know nothing else of it, and a bad version without a proof
 /// would be on trial for longer. Some twenty calls a roll-out.
-pub const TIME_WRITTEN_EACH: u32 = 5;
+pub const ELAPSED_WRITE_STEP_PERCENT: u32 = 5;
 /// How much later than the box that writes a record others may learn of the order.
 const RECORD_WAY: Duration = Duration::from_secs(1);
 /// By how much another box's word has to exceed the record to show that it has counted on.
@@ -108,7 +108,7 @@
     }
 
     /// Returns the record of an order that is under way.
-    pub fn running(&self, order: &RolloutOrder) -> Option<&RolloutRecord> {
+    pub fn running_record(&self, order: &RolloutOrder) -> Option<&RolloutRecord> {
         let record = &self.record.as_ref()?.record;
         let is_running = record.state == RolloutState::Running;
         (is_running && record.order_revision == order.revision).then_some(record)
@@ -119,7 +119,7 @@
     /// The record tells the time of the last stage alone, and a box that starts sees it for the
     /// first time: where all boxes were restarted one after the other, the time went back to
     /// that stage, and a version without a proof was on trial for ever.
-    pub fn hear_elapsed(&mut self, order: u64, elapsed: Duration, now: Now) {
+    pub fn apply_reported_elapsed(&mut self, order: u64, elapsed: Duration, now: Now) {
         let known = self.told.filter(|told| told.order == order);
         if known.is_none_or(|known| known.by(now) < elapsed) {
             self.told = Some(ToldTime {
@@ -155,7 +155,7 @@
         let told = self.told_of(order).map(|told| told.by(now));
         let is_known_better = told.is_some_and(|told| told > known.elapsed(now) + KNOWS_BETTER_BY);
         match known.is_found && !is_known_better {
-            true => before + order.duration / 100 * TIME_WRITTEN_EACH / 2,
+            true => before + order.duration / 100 * ELAPSED_WRITE_STEP_PERCENT / 2,
             false => before,
         }
     }
--- a/src/gateway/control/leading.rs
+++ b/src/gateway/control/rollout_leader.rs
@@ -6,7 +6,7 @@
 
 use super::membership::place_in_line;
 use super::rollout::{Rollout, SeenRecord};
-use super::store::{ControlStore, RecordWritten, RolloutOrder, Update};
+use super::store::{ControlStore, RecordWriteResult, RolloutOrder, Update};
 use crate::clock::Now;
 use crate::gateway::Gateway;
 use crate::gateway::versions::rollout::{Progress, is_overdue, next_record};
@@ -26,7 +26,7 @@
 
 /// Takes roll-outs through their stages while this box leads, or while the one that leads does
 /// not.
-pub async fn lead(gw: Rc<Gateway>, store: Rc<dyn ControlStore>) {
+pub async fn lead_rollouts(gw: Rc<Gateway>, store: Rc<dyn ControlStore>) {
     // The revision of the last record that this box wrote of each service.
     let mut written: HashMap<String, u64> = HashMap::new();
     loop {
@@ -92,7 +92,7 @@
     let next = next_record(&order, record, progress)?;
     gw.telemetry.store_called("write");
     match store.write_rollout(&next, expected).await {
-        Ok(RecordWritten::At(revision)) => {
+        Ok(RecordWriteResult::Written(revision)) => {
             log::info!(
                 service,
                 version = next.target.as_str(),
@@ -114,7 +114,7 @@
             gw.knowledge.borrow_mut().apply(update, Now::read());
             Some(revision)
         }
-        Ok(RecordWritten::Conflict) => {
+        Ok(RecordWriteResult::Conflict) => {
             log::info!(service, expected; "another box took the roll-out on");
             None
         }
@@ -167,12 +167,12 @@
 }
 
 /// Tells whether this box may take roll-outs on.
-pub fn is_in_line(gw: &Gateway, now: Now) -> bool {
+pub fn may_advance_rollouts(gw: &Gateway, now: Now) -> bool {
     place_in_line(gw, now).is_some_and(|place| place < IN_LINE)
 }
 
 /// Returns the name under which a roll-out's target is watched.
-pub fn target_name(order: &RolloutOrder) -> VersionName {
+pub fn target_version_name(order: &RolloutOrder) -> VersionName {
     VersionName {
         model: order.service.clone(),
         version: order.target.clone(),
--- a/src/gateway/control/knowledge.rs
+++ b/src/gateway/control/state.rs
@@ -27,7 +27,7 @@
 
 /// What a box knows.
 #[derive(Debug, Default)]
-pub struct Knowledge {
+pub struct ControlPlaneState {
     routes: Option<Arc<RouteTable>>,
     upstreams: HashMap<String, Rc<Upstream>>,
     /// What is wrong with the entries of upstreams that cannot be read, by id.
@@ -49,14 +49,14 @@
 
 /// What a box may say by the configuration that it has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Proof {
+pub enum ConfigFreshness {
     /// Nothing newer exists that callers may count on.
-    Newest,
+    Current,
     /// No key was taken away so long ago that it must not serve any more; what was added
     /// may be missing.
-    KeysHold,
+    KeysValid,
     /// Nothing proves any more that it still holds, nor that it does not.
-    None,
+    Unconfirmed,
     /// Something newer has existed for so long that it has to be in force.
     Outdated,
 }
@@ -111,7 +111,7 @@
     }
 }
 
-impl Knowledge {
+impl ControlPlaneState {
     /// Takes one update.
     pub fn apply(&mut self, update: Update, now: Now) -> Change {
         match update {
@@ -293,7 +293,7 @@
 
     /// Tells whether there are routes, and whether there ever was a proof that nothing newer
     /// exists.
-    pub fn is_proved(&self) -> bool {
+    pub fn has_confirmed_routes(&self) -> bool {
         self.routes.is_some() && self.confirmed.is_some()
     }
 
@@ -320,18 +320,18 @@
     }
 
     /// Returns what this box may say by what it has.
-    pub fn proof(&self, bounds: &Bounds, now: Now) -> Proof {
+    pub fn freshness(&self, bounds: &Bounds, now: Now) -> ConfigFreshness {
         let lag = self.lag(now);
         if lag.is_some_and(|lag| lag > bounds.longest_lag()) {
-            return Proof::Outdated;
+            return ConfigFreshness::Outdated;
         }
         let is_younger = |than: Duration| self.age(now).is_some_and(|age| age < than);
         if lag.is_none() && is_younger(bounds.denial_lifetime()) {
-            return Proof::Newest;
+            return ConfigFreshness::Current;
         }
         match is_younger(bounds.key_lifetime()) {
-            true => Proof::KeysHold,
-            false => Proof::None,
+            true => ConfigFreshness::KeysValid,
+            false => ConfigFreshness::Unconfirmed,
         }
     }
 
@@ -380,7 +380,7 @@
     /// Returns the upstreams of a service that take new work.
     ///
     /// Those whose entries lapsed take it only until the store has settled.
-    pub fn open_upstreams(&self, service: &str, now: Now) -> Vec<Rc<Upstream>> {
+    pub fn available_upstreams(&self, service: &str, now: Now) -> Vec<Rc<Upstream>> {
         let is_settled = !self.store_is_unsettled(now);
         let is_open = |upstream: &&Rc<Upstream>| {
             let is_gone = is_settled && upstream.lapsed_at().is_some();
@@ -425,7 +425,7 @@
 
     /// Removes an upstream whose address answered for another instance, unless it has started
     /// again meanwhile.
-    pub fn forget_upstream(&mut self, life: &UpstreamLife) {
+    pub fn remove_upstream(&mut self, life: &UpstreamLife) {
         let known = self.upstreams.get(&life.instance);
         if known.is_some_and(|known| known.life() == life) {
             self.upstreams.remove(&life.instance);
@@ -458,7 +458,7 @@
     }
 
     /// Returns the registered boxes, the one registered longest first.
-    pub fn boxes_by_age(&self) -> Vec<&BoxEntry> {
+    pub fn boxes_by_registration(&self) -> Vec<&BoxEntry> {
         let mut boxes: Vec<&BoxEntry> = self.boxes().collect();
         boxes.sort_by_key(|entry| entry.registered);
         boxes
@@ -473,15 +473,15 @@
     pub fn rollouts_under_way(&self) -> impl Iterator<Item = (&RolloutOrder, &Rollout)> {
         self.rollouts.values().filter_map(|rollout| {
             let (order, _) = rollout.order.as_ref()?;
-            rollout.running(order).map(|_| (order, rollout))
+            rollout.running_record(order).map(|_| (order, rollout))
         })
     }
 
     /// Takes another box's word on the time since an order.
-    pub fn hear_elapsed(&mut self, order: u64, elapsed: Duration, now: Now) {
+    pub fn apply_reported_elapsed(&mut self, order: u64, elapsed: Duration, now: Now) {
         let mut rollouts = self.rollouts.values_mut();
         if let Some(rollout) = rollouts.find(|rollout| rollout.is_of(order)) {
-            rollout.hear_elapsed(order, elapsed, now);
+            rollout.apply_reported_elapsed(order, elapsed, now);
         }
     }
 }
--- a/src/gateway/control/store.rs
+++ b/src/gateway/control/store.rs
@@ -191,12 +191,12 @@
 }
 
 /// All sessions, in thousandths.
-pub const ALL_SESSIONS: u32 = 1000;
+pub const ALL_SESSIONS_PERMILLE: u32 = 1000;
 
 impl RolloutRecord {
     /// Tells whether the target was proved good: nothing less gives it all sessions.
     pub fn is_proved(&self) -> bool {
-        self.permille >= ALL_SESSIONS
+        self.permille >= ALL_SESSIONS_PERMILLE
     }
 }
 
@@ -239,18 +239,18 @@
 
 /// What a watch brought.
 #[derive(Debug, Clone)]
-pub enum Watched {
+pub enum WatchResult {
     /// Changes in their order, and the revision to go on from.
     Changes(Vec<Item>, u64),
     /// The history after the revision is gone; everything has to be read anew.
-    HistoryGone,
+    HistoryCompacted,
 }
 
 /// The result of writing a roll-out's record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RecordWritten {
+pub enum RecordWriteResult {
     /// The record stands at this revision.
-    At(u64),
+    Written(u64),
     /// Another box wrote first.
     Conflict,
 }
@@ -261,7 +261,7 @@
     fn decode(&self, item: &Item) -> Option<Update>;
 
     /// Tells whether an answer is on its way of which a part has come.
-    fn is_receiving(&self) -> bool;
+    fn is_receiving_response(&self) -> bool;
 
     /// Reads a page, linearizably: the first one, or the one that begins where another ended.
     fn read_page<'a>(&'a self, begin: Option<&'a str>) -> LocalBoxFuture<'a, StoreResult<Page>>;
@@ -276,7 +276,7 @@
     fn read_revision(&self) -> LocalBoxFuture<'_, StoreResult<u64>>;
 
     /// Waits up to `wait` for changes after a revision.
-    fn watch(&self, after: u64, wait: Duration) -> LocalBoxFuture<'_, StoreResult<Watched>>;
+    fn watch(&self, after: u64, wait: Duration) -> LocalBoxFuture<'_, StoreResult<WatchResult>>;
 
     /// Registers a box under a lease of `ttl` and returns the lease.
     fn register<'a>(
@@ -297,5 +297,5 @@
         &'a self,
         record: &'a RolloutRecord,
         expected: u64,
-    ) -> LocalBoxFuture<'a, StoreResult<RecordWritten>>;
+    ) -> LocalBoxFuture<'a, StoreResult<RecordWriteResult>>;
 }
--- a/src/gateway/control/follow.rs
+++ b/src/gateway/control/store_sync.rs
@@ -5,11 +5,11 @@
 //! while changes are made. The other boxes ask a hub ([`crate::gateway::peers::hubs`]) and
 //! call the store only when what they know grows old. See `docs/design/platform.md`.
 
-use super::first_reads::{Hall, learn_everything, read_hall};
-use super::knowledge::Change;
+use super::initial_sync::{Hall, learn_everything, read_hall};
 use super::membership::stay_registered;
 use super::mirror::Changes;
-use super::store::{ControlStore, Item, Watched};
+use super::state::Change;
+use super::store::{ControlStore, Item, WatchResult};
 use crate::clock::Now;
 use crate::gateway::Gateway;
 use std::rc::Rc;
@@ -58,7 +58,7 @@
 const REGISTRATION_LOOK: Duration = Duration::from_millis(4);
 
 /// Follows the store for as long as the process lives.
-pub async fn follow(gw: Rc<Gateway>, store: Rc<dyn ControlStore>) {
+pub async fn sync_with_store(gw: Rc<Gateway>, store: Rc<dyn ControlStore>) {
     let hall = register_and_read_hall(&gw, &store).await;
     learn_everything(&gw, &*store, hall).await;
     tokio::join!(watch(&gw, &*store), check(&gw, &*store));
@@ -97,7 +97,7 @@
 }
 
 /// Tidies up for as long as the process lives.
-pub async fn tidy(gw: Rc<Gateway>) {
+pub async fn expire_old_state(gw: Rc<Gateway>) {
     loop {
         sleep(TIDY_INTERVAL).await;
         let now = Now::read();
@@ -116,11 +116,11 @@
 }
 
 /// Takes items into what the box knows.
-pub fn take_changes(gw: &Gateway, store: &dyn ControlStore, changes: Changes, source: &str) {
+pub fn apply_changes(gw: &Gateway, store: &dyn ControlStore, changes: Changes, source: &str) {
     let now = Now::read();
     let revision = changes.revision;
     let mut mirror = gw.mirror.borrow_mut();
-    let news = match changes.is_all {
+    let news = match changes.is_snapshot {
         true => mirror.take_all(changes.items, revision),
         false => mirror.take(changes.items, revision),
     };
@@ -159,10 +159,10 @@
 pub fn take_part(gw: &Gateway, store: &dyn ControlStore, changes: Changes, source: &str) {
     let part = Changes {
         revision: 0,
-        is_all: false,
+        is_snapshot: false,
         ..changes
     };
-    take_changes(gw, store, part, source);
+    apply_changes(gw, store, part, source);
 }
 
 fn take_items(
@@ -175,10 +175,10 @@
     let changes = Changes {
         after: gw.mirror.borrow().revision(),
         revision,
-        is_all: false,
+        is_snapshot: false,
         items,
     };
-    take_changes(gw, store, changes, source);
+    apply_changes(gw, store, changes, source);
 }
 
 /// Reads everything, again and again until it succeeds.
@@ -252,10 +252,10 @@
         let changes = Changes {
             after: 0,
             revision: self.revision.unwrap_or_default(),
-            is_all: true,
+            is_snapshot: true,
             items: self.items,
         };
-        take_changes(gw, store, changes, "list");
+        apply_changes(gw, store, changes, "list");
         gw.confirm(self.began);
     }
 }
@@ -285,12 +285,12 @@
         let after = gw.mirror.borrow().revision();
         gw.telemetry.store_called("watch");
         match store.watch(after, WATCH_WAIT).await {
-            Ok(Watched::Changes(items, revision)) => {
+            Ok(WatchResult::Changes(items, revision)) => {
                 gw.store_answered(Now::read());
                 backoff = Backoff::new();
                 take_items(gw, store, items, revision, "watch");
             }
-            Ok(Watched::HistoryGone) => {
+            Ok(WatchResult::HistoryCompacted) => {
                 log::warn!(after; "the store's history is gone, everything is read anew");
                 read_everything(gw, store).await;
             }
@@ -312,7 +312,7 @@
             true => HUB_AGE,
             false => gw.settings().bounds.own_check_age(),
         };
-        if age.is_some_and(|age| age < oldest) || is_receiving(gw, store) {
+        if age.is_some_and(|age| age < oldest) || is_receiving_response(gw, store) {
             continue;
         }
         match check_once(gw, store).await {
@@ -340,7 +340,7 @@
         gw.knowledge.borrow_mut().hear_of_newer(revision, now);
         sleep(WATCH_LAG).await;
     }
-    if is_behind(gw, revision) && is_receiving(gw, store) {
+    if is_behind(gw, revision) && is_receiving_response(gw, store) {
         log::info!(revision; "this box is behind, what it lacks is on its way");
         return true;
     }
@@ -357,8 +357,8 @@
 
 /// Tells whether something is on its way to this box, perhaps what it lacks: a second copy
 /// beside it would only make both late.
-fn is_receiving(gw: &Gateway, store: &dyn ControlStore) -> bool {
-    gw.asking.is_fetching() || store.is_receiving()
+fn is_receiving_response(gw: &Gateway, store: &dyn ControlStore) -> bool {
+    gw.asking.is_fetching() || store.is_receiving_response()
 }
 
 fn is_behind(gw: &Gateway, revision: u64) -> bool {
@@ -372,8 +372,10 @@
     log::info!(after; "this box has fallen behind, the changes are read");
     gw.telemetry.store_called("changes");
     match store.watch(after, CHANGES_WAIT).await {
-        Ok(Watched::Changes(items, revision)) => take_items(gw, store, items, revision, "changes"),
-        Ok(Watched::HistoryGone) => log::warn!(after; "the store's history is gone"),
+        Ok(WatchResult::Changes(items, revision)) => {
+            take_items(gw, store, items, revision, "changes")
+        }
+        Ok(WatchResult::HistoryCompacted) => log::warn!(after; "the store's history is gone"),
         Err(err) => {
             gw.store_failed(&err, Now::read());
             return false;
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -1,13 +1,13 @@
 //! What boxes tell each other.
 
-pub mod asking;
 pub mod datagram;
 pub mod fetch;
-pub mod heard;
+pub mod fetch_planner;
+pub mod hub_poller;
 pub mod hubs;
-pub mod leaving;
+pub mod leaving_upstreams;
+pub mod liveness;
 pub mod messages;
 pub mod outbox;
 pub mod packing;
-pub mod spread;
 pub mod suspects;
--- a/src/gateway/peers/asking.rs
+++ b/src/gateway/peers/hub_poller.rs
@@ -4,14 +4,14 @@
 //! See `docs/design/spreading.md`.
 
 use super::fetch::{Progress, Wanted, fetch};
+use super::fetch_planner::Source;
 use super::hubs::{Fetching, Question, Told, choose_hubs};
 use super::packing::Unusable;
-use super::spread::Source;
 use crate::clock::Now;
 use crate::gateway::Gateway;
-use crate::gateway::control::follow::{take_changes, take_part};
 use crate::gateway::control::mirror::PackedChanges;
 use crate::gateway::control::store::{BoxEntry, ControlStore};
+use crate::gateway::control::store_sync::{apply_changes, take_part};
 use crate::wire::WireError;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -43,7 +43,7 @@
 
 /// How the boxes that were asked answered, and what this box fetches.
 #[derive(Debug, Default)]
-pub struct Asking {
+pub struct HubPoller {
     asked: RefCell<HashMap<SocketAddr, Asked>>,
     fetching: Cell<Fetching>,
     /// Whether the next question is due soon, but not at once.
@@ -63,7 +63,7 @@
     answered: Option<(Duration, Duration)>,
 }
 
-impl Asking {
+impl HubPoller {
     /// Tells whether items have to come as a whole, since differences were of no use.
     fn wants_whole(&self) -> bool {
         self.unusable.get() >= USELESS_BEFORE_WHOLE
@@ -137,7 +137,7 @@
     }
 }
 
-async fn await_next_question(asking: &Asking) {
+async fn await_next_question(asking: &HubPoller) {
     sleep(LEAST_ASK_INTERVAL).await;
     let rung = asking.ask_now.notified();
     // Whether the time is over or it has rung, the next question is due.
@@ -154,7 +154,7 @@
     let knowledge = gw.knowledge.borrow();
     let mut asked = choose_hubs(knowledge.boxes());
     asked.sort_by_key(|hub| hub.hall != settings.hall);
-    let mut others = knowledge.boxes_by_age();
+    let mut others = knowledge.boxes_by_registration();
     let is_hub = |entry: &&BoxEntry| asked.iter().any(|hub| hub.address == entry.address);
     others.retain(|entry| !is_hub(entry));
     asked.extend(others.into_iter().take(OTHERS_ASKED));
@@ -181,7 +181,7 @@
     if told.revision > own {
         gw.knowledge.borrow_mut().hear_of_newer(told.revision, now);
     }
-    let fits = told.changes.is_all || told.changes.after <= own;
+    let fits = told.changes.is_snapshot || told.changes.after <= own;
     if !fits {
         // News for a box that is further on; the next question brings what this one lacks.
         return;
@@ -191,7 +191,7 @@
     match (unpacked, told.rest) {
         (Ok(changes), None) => {
             gw.asking.unusable.set(0);
-            take_changes(gw, &**store, changes, "hub");
+            apply_changes(gw, &**store, changes, "hub");
         }
         (Ok(changes), Some(source)) => {
             take_part(gw, &**store, changes, "hub");
@@ -306,7 +306,7 @@
     packed: PackedChanges,
 ) -> Result<(), FetchError> {
     let own = gw.mirror.borrow().revision();
-    if !packed.is_all && packed.after > own || packed.revision < own {
+    if !packed.is_snapshot && packed.after > own || packed.revision < own {
         return Err(FetchError::Behind);
     }
     let changes = gw
@@ -315,6 +315,6 @@
         .unpack(packed)
         .map_err(FetchError::Unusable)?;
     gw.asking.unusable.set(0);
-    take_changes(gw, store, changes, "fetch");
+    apply_changes(gw, store, changes, "fetch");
     Ok(())
 }
--- a/src/gateway/peers/hubs.rs
+++ b/src/gateway/peers/hubs.rs
@@ -6,12 +6,12 @@
 //! knowledge, and the asking box counts that from its own question, so that no delay on
 //! the way makes knowledge look fresher than it is. A hub also tells its askers and the
 //! other hub of news at once. What does not fit into a datagram is fetched over an `h2`
-//! stream from a box that the hub names ([`super::spread`]). The side of the boxes that ask is
-//! [`super::asking`].
+//! stream from a box that the hub names ([`super::fetch_planner`]). The side of the boxes that ask is
+//! [`super::hub_poller`].
 //! See `docs/design/platform.md` and `docs/design/spreading.md`.
 
 use super::fetch::PackedEverything;
-use super::spread::{Lacking, Source, Spread};
+use super::fetch_planner::{Lacking, Source, Spread};
 use crate::clock::{Now, millis};
 use crate::gateway::Gateway;
 use crate::gateway::control::mirror::PackedChanges;
@@ -66,7 +66,7 @@
 
 /// What this box knows, as a hub, of the boxes that ask it.
 #[derive(Debug, Default)]
-pub struct Hubs {
+pub struct HubState {
     spread: RefCell<Spread>,
     /// What boxes that start are told.
     pub everything: PackedEverything,
@@ -88,7 +88,7 @@
     std::iter::once(*first).chain(second.copied()).collect()
 }
 
-impl Hubs {
+impl HubState {
     /// Answers a question.
     pub fn answer(&self, gw: &Gateway, question: Question, from: SocketAddr, now: Now) -> Told {
         {
@@ -137,7 +137,7 @@
     }
 
     /// Tells whether any box asked this one a short while ago.
-    pub fn has_askers(&self, now: Now) -> bool {
+    pub fn has_recent_pollers(&self, now: Now) -> bool {
         !self.spread.borrow_mut().askers(now).is_empty()
     }
 }
--- a/src/gateway/peers/leaving.rs
+++ b/src/gateway/peers/leaving_upstreams.rs
@@ -11,7 +11,7 @@
 
 impl Gateway {
     /// Records that an upstream has said that it leaves, and has the other boxes told.
-    pub fn hear_leaving(&self, upstream: &Upstream, now: Now) {
+    pub fn note_upstream_leaving(&self, upstream: &Upstream, now: Now) {
         let mut knowledge = self.knowledge.borrow_mut();
         if knowledge.note_leaving(upstream.life(), now) {
             self.telemetry.upstream_leaves(upstream, "answer");
--- a/src/gateway/peers/heard.rs
+++ b/src/gateway/peers/liveness.rs
@@ -21,9 +21,9 @@
 /// The moments at which something came from each box. A box that was killed, paused or cut off
 /// stays registered for seconds; that nothing comes from it shows sooner.
 #[derive(Debug, Default)]
-pub struct Heard(HashMap<SocketAddr, Duration>);
+pub struct PeerLiveness(HashMap<SocketAddr, Duration>);
 
-impl Heard {
+impl PeerLiveness {
     /// Returns which boxes, in their order, are this one or were heard of lately.
     pub fn lively<'a>(
         &self,
--- a/src/gateway/peers/messages.rs
+++ b/src/gateway/peers/messages.rs
@@ -15,11 +15,11 @@
 //! late or doubled does no harm; that is why these are datagrams and not h2 streams.
 //! See `docs/design/platform.md`.
 
-use super::asking;
 use super::datagram;
 use super::fetch;
+use super::hub_poller;
 use super::hubs::{self, Question, Told};
-use super::leaving;
+use super::leaving_upstreams;
 use super::suspects;
 use crate::clock::{Now, millis};
 use crate::error::{Error, Result};
@@ -97,10 +97,10 @@
         report_versions(&gw, &socket),
         report_load(&gw, &socket),
         tell_long_reads(&gw, &socket),
-        asking::ask(&gw, send_question),
+        hub_poller::ask(&gw, send_question),
         hubs::tell_news(&gw, send_told),
         suspects::tell_suspects(&gw, send_suspects),
-        leaving::tell_leaving(&gw, send_leaving),
+        leaving_upstreams::tell_leaving(&gw, send_leaving),
         fetch::serve_fetches(gw.clone(), listener),
     );
     Ok(())
@@ -138,7 +138,9 @@
         PeerMessage::Counts(report) => gw.versions.borrow_mut().take(report),
         PeerMessage::RolloutTime(order, elapsed_ms) => {
             let elapsed = Duration::from_millis(elapsed_ms);
-            gw.knowledge.borrow_mut().hear_elapsed(order, elapsed, now);
+            gw.knowledge
+                .borrow_mut()
+                .apply_reported_elapsed(order, elapsed, now);
         }
         PeerMessage::FoundBad(order) => gw.take_finding(order, &from.to_string()),
         PeerMessage::Load(load) => gw.loads.borrow_mut().take(load, now),
@@ -159,7 +161,7 @@
             send(gw, socket, &PeerMessage::Told(told), &[from]).await;
         }
         PeerMessage::Told(told) => {
-            asking::take_told(gw, store, told, from);
+            hub_poller::take_told(gw, store, told, from);
         }
     }
 }
@@ -258,7 +260,7 @@
 fn told_of_versions(gw: &Gateway, now: Now) -> Vec<SocketAddr> {
     let settings = gw.settings();
     let knowledge = gw.knowledge.borrow();
-    let boxes = knowledge.boxes_by_age();
+    let boxes = knowledge.boxes_by_registration();
     let heard = gw.heard.borrow();
     let mut lively = heard.lively(&boxes, settings.peers, now);
     lively.retain(|entry| entry.address != settings.peers);
--- a/src/gateway/place/candidates.rs
+++ b/src/gateway/place/candidates.rs
@@ -92,7 +92,7 @@
     /// Returns the upstreams of a service that may serve a session's request once they take requests.
     fn allowed_upstreams(&self, service: &str, session: &str, now: Now) -> Vec<Rc<Upstream>> {
         let knowledge = self.knowledge.borrow();
-        let mut open = knowledge.open_upstreams(service, now);
+        let mut open = knowledge.available_upstreams(service, now);
         let rollout = knowledge.rollout(service);
         if rollout.is_none() {
             return open;
--- a/src/gateway/place/loads.rs
+++ b/src/gateway/place/loads.rs
@@ -3,7 +3,7 @@
 use super::choose::draw;
 use crate::clock::Now;
 use crate::gateway::attempt::upstream::{Elsewhere, Upstream};
-use crate::gateway::control::knowledge::Knowledge;
+use crate::gateway::control::state::ControlPlaneState;
 use crate::gateway::peers::outbox::Outbox;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -94,7 +94,7 @@
 
 impl BoxLoad {
     /// Collects what a box has under way.
-    pub fn of(reporter: &str, knowledge: &Knowledge) -> Self {
+    pub fn of(reporter: &str, knowledge: &ControlPlaneState) -> Self {
         let busy = knowledge
             .upstreams()
             .filter(|upstream| upstream.outstanding() > 0);
@@ -130,7 +130,7 @@
     }
 
     /// Takes the news of a long read, until the reader's next report replaces it.
-    pub fn take_long_read(&mut self, read: LongRead, knowledge: &Knowledge, now: Now) {
+    pub fn take_long_read(&mut self, read: LongRead, knowledge: &ControlPlaneState, now: Now) {
         let upstream = UpstreamLoad {
             upstream: read.upstream,
             unread_ms: read.reading_ms,
@@ -146,7 +146,7 @@
     }
 
     /// Forgets old reports and tells each upstream what the others have under way there.
-    pub fn spread(&mut self, knowledge: &Knowledge, now: Now) {
+    pub fn spread(&mut self, knowledge: &ControlPlaneState, now: Now) {
         let lifetime = interval(self.reports.len()) * LIFETIME_INTERVALS;
         self.reports
             .retain(|_, (_, at)| now.monotonic.saturating_sub(*at) < lifetime);
--- a/src/gateway/versions/counts.rs
+++ b/src/gateway/versions/counts.rs
@@ -10,8 +10,8 @@
 use crate::gateway::admit::job::Job;
 use crate::gateway::attempt::exchange::{Answer, Tried};
 use crate::gateway::attempt::upstream::Upstream;
-use crate::gateway::control::leading::{is_in_line, target_name};
 use crate::gateway::control::rollout::Rollout;
+use crate::gateway::control::rollout_leader::{may_advance_rollouts, target_version_name};
 use crate::gateway::place::choose::Choice;
 use crate::gateway::place::reading;
 use std::time::Duration;
@@ -113,7 +113,7 @@
         let mut versions = self.versions.borrow_mut();
         versions.keep(|order| orders.contains(&order));
         drop(versions);
-        let goes_by_record = is_in_line(self, now);
+        let goes_by_record = may_advance_rollouts(self, now);
         for rollout in knowledge.rollouts().values() {
             self.judge_version(rollout, goes_by_record, now);
         }
@@ -130,7 +130,7 @@
         now: Now,
     ) -> Option<Verdict> {
         let (order, _) = rollout.order.as_ref()?;
-        let record = rollout.running(order)?;
+        let record = rollout.running_record(order)?;
         let span = Span {
             elapsed: rollout.elapsed(now)?,
             duration: order.duration,
@@ -138,7 +138,7 @@
         let bound = self.settings().bounds.exposure;
         let asked = Question {
             order: order.revision,
-            target: &target_name(order),
+            target: &target_version_name(order),
             span,
             since: stretch_at(stage_since(record), order.duration).saturating_add(1),
             is_compared: record.permille >= bound.middle_stage(MOVING),
--- a/src/gateway/versions/rollout.rs
+++ b/src/gateway/versions/rollout.rs
@@ -8,8 +8,10 @@
 use super::judge::Evidence;
 use super::watch::Verdict;
 use crate::clock::{Now, millis};
-use crate::gateway::control::rollout::{Rollout, TIME_WRITTEN_EACH};
-use crate::gateway::control::store::{ALL_SESSIONS, RolloutOrder, RolloutRecord, RolloutState};
+use crate::gateway::control::rollout::{ELAPSED_WRITE_STEP_PERCENT, Rollout};
+use crate::gateway::control::store::{
+    ALL_SESSIONS_PERMILLE, RolloutOrder, RolloutRecord, RolloutState,
+};
 use crate::gateway::place::choose::draw;
 use std::time::Duration;
 
@@ -18,7 +20,7 @@
 /// version would be late by as long as that lasts.
 const OVERDUE: Duration = Duration::from_millis(1500);
 /// All sessions, in the type of a hash.
-const THOUSAND: u64 = ALL_SESSIONS as u64;
+const THOUSAND: u64 = ALL_SESSIONS_PERMILLE as u64;
 /// The middle stages, in thousandths of the sessions: at the first the new engines read the
 /// prompts of the sessions that move, at the second they bear about what the old ones bear, so
 /// that the two can be compared under load. The operators' share may allow less.
@@ -208,7 +210,7 @@
 
 /// Returns the time of an order at which it is to be written down again.
 fn time_due(order: &RolloutOrder, record: &RolloutRecord) -> Duration {
-    Duration::from_millis(record.elapsed_ms) + order.duration / 100 * TIME_WRITTEN_EACH
+    Duration::from_millis(record.elapsed_ms) + order.duration / 100 * ELAPSED_WRITE_STEP_PERCENT
 }
 
 /// Tells whether the box that leads a roll-out has not written for so long that another one
@@ -247,7 +249,7 @@
             let is_borne = verdict.at_stage >= Evidence::Speaks
                 && verdict.evidence >= Evidence::Proves
                 && progress.bound.bears_all(verdict.sent, span);
-            (verdict.at_stage >= asked || is_borne, ALL_SESSIONS)
+            (verdict.at_stage >= asked || is_borne, ALL_SESSIONS_PERMILLE)
         }
         at if at >= moving => (
             lasted >= least(MOVING_LASTS, order) && verdict.evidence >= Evidence::Triable,
--- a/src/gateway/versions/tally.rs
+++ b/src/gateway/versions/tally.rs
@@ -184,7 +184,7 @@
 pub fn trial(rollout: &Rollout, version: &str, now: Now) -> Option<Trial> {
     let (order, _) = rollout.order.as_ref()?;
     let elapsed = rollout.elapsed(now)?;
-    let is_running = rollout.running(order).is_some();
+    let is_running = rollout.running_record(order).is_some();
     (is_running && elapsed <= order.duration).then(|| Trial {
         order: order.revision,
         stretch: stretch_at(elapsed, order.duration),
--- a/tests/gateway/spreading.rs
+++ b/tests/gateway/fetch_planning.rs
@@ -5,7 +5,7 @@
 //! `gateway::peers::hubs` does; the clock is the test's.
 
 use super::{at, cases};
-use gatepier::gateway::peers::spread::{Lacking, Source, Spread};
+use gatepier::gateway::peers::fetch_planner::{Lacking, Source, Spread};
 use googletest::prelude::*;
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/tests/gateway/freshness.rs
+++ b/tests/gateway/freshness.rs
@@ -5,7 +5,7 @@
 use gatepier::gateway::admit::serve::check;
 use gatepier::gateway::answer::refusal::Why;
 use gatepier::gateway::attempt::retries::RetryBound;
-use gatepier::gateway::control::knowledge::{Change, Knowledge, Proof};
+use gatepier::gateway::control::state::{Change, ConfigFreshness, ControlPlaneState};
 use gatepier::gateway::control::store::Update;
 use gatepier::gateway::settings::{Bounds, UnprovedKeys};
 use gatepier::gateway::versions::exposure::ExposureBound;
@@ -23,8 +23,8 @@
     Update::Upstream(Box::new(listed(instance, "engine", "ikeja")))
 }
 
-fn open(knowledge: &Knowledge, millis: u64) -> usize {
-    knowledge.open_upstreams("engine", at(millis)).len()
+fn open(knowledge: &ControlPlaneState, millis: u64) -> usize {
+    knowledge.available_upstreams("engine", at(millis)).len()
 }
 
 fn organisation() -> Organisation {
@@ -50,10 +50,10 @@
         let organisation = organisation();
         let known = Caller::Known(&organisation);
         let known = Some(known);
-        expect_that!(check(known, Proof::None, UnprovedKeys::ServeKnown), ok(anything()));
-        expect_that!(check(known, Proof::None, UnprovedKeys::Refuse), err(eq(Why::Stale)));
+        expect_that!(check(known, ConfigFreshness::Unconfirmed, UnprovedKeys::ServeKnown), ok(anything()));
+        expect_that!(check(known, ConfigFreshness::Unconfirmed, UnprovedKeys::Refuse), err(eq(Why::Stale)));
         for unproved in [UnprovedKeys::ServeKnown, UnprovedKeys::Refuse] {
-            for proof in [Proof::Newest, Proof::KeysHold] {
+            for proof in [ConfigFreshness::Current, ConfigFreshness::KeysValid] {
                 expect_that!(check(known, proof, unproved), ok(anything()));
             }
         }
@@ -61,9 +61,9 @@
 
     unknown_key_is_told_to_come_back_until_it_is_proved_unknown => {
         for unproved in [UnprovedKeys::ServeKnown, UnprovedKeys::Refuse] {
-            let proved = check(Some(Caller::Unknown), Proof::Newest, unproved);
+            let proved = check(Some(Caller::Unknown), ConfigFreshness::Current, unproved);
             expect_that!(proved, err(eq(Why::UnknownKey)));
-            for proof in [Proof::KeysHold, Proof::None, Proof::Outdated] {
+            for proof in [ConfigFreshness::KeysValid, ConfigFreshness::Unconfirmed, ConfigFreshness::Outdated] {
                 let unsure = check(Some(Caller::Unknown), proof, unproved);
                 expect_that!(unsure, err(eq(Why::Stale)));
             }
@@ -74,8 +74,8 @@
         // Fails where a box says 404 for whatever it does not know: routes that had been
         // confirmed three seconds before were refused for good by boxes that lacked them.
         for unproved in [UnprovedKeys::ServeKnown, UnprovedKeys::Refuse] {
-            expect_that!(check(None, Proof::Newest, unproved), err(eq(Why::NoRoute)));
-            for proof in [Proof::KeysHold, Proof::None, Proof::Outdated] {
+            expect_that!(check(None, ConfigFreshness::Current, unproved), err(eq(Why::NoRoute)));
+            for proof in [ConfigFreshness::KeysValid, ConfigFreshness::Unconfirmed, ConfigFreshness::Outdated] {
                 expect_that!(check(None, proof, unproved), err(eq(Why::Stale)));
             }
         }
@@ -85,51 +85,51 @@
         let organisation = organisation();
         for caller in [Caller::Known(&organisation), Caller::Anonymous, Caller::Unknown] {
             for unproved in [UnprovedKeys::ServeKnown, UnprovedKeys::Refuse] {
-                let outdated = check(Some(caller), Proof::Outdated, unproved);
+                let outdated = check(Some(caller), ConfigFreshness::Outdated, unproved);
                 expect_that!(outdated, err(eq(Why::Stale)));
             }
         }
-        expect_that!(check(Some(Caller::Anonymous), Proof::None, UnprovedKeys::Refuse), ok(anything()));
+        expect_that!(check(Some(Caller::Anonymous), ConfigFreshness::Unconfirmed, UnprovedKeys::Refuse), ok(anything()));
     }
 
     proof_is_the_newest_only_while_nothing_newer_is_known => {
-        let mut knowledge = Knowledge::default();
-        expect_that!(knowledge.proof(&bounds(), at(0)), eq(Proof::None));
+        let mut knowledge = ControlPlaneState::default();
+        expect_that!(knowledge.freshness(&bounds(), at(0)), eq(ConfigFreshness::Unconfirmed));
         knowledge.confirm(at(0).monotonic);
-        expect_that!(knowledge.proof(&bounds(), at(2700)), eq(Proof::Newest));
-        expect_that!(knowledge.proof(&bounds(), at(2900)), eq(Proof::KeysHold));
-        expect_that!(knowledge.proof(&bounds(), at(4500)), eq(Proof::None));
+        expect_that!(knowledge.freshness(&bounds(), at(2700)), eq(ConfigFreshness::Current));
+        expect_that!(knowledge.freshness(&bounds(), at(2900)), eq(ConfigFreshness::KeysValid));
+        expect_that!(knowledge.freshness(&bounds(), at(4500)), eq(ConfigFreshness::Unconfirmed));
         knowledge.confirm(at(5000).monotonic);
         knowledge.hear_of_newer(9, at(5000));
-        expect_that!(knowledge.proof(&bounds(), at(5100)), eq(Proof::KeysHold));
+        expect_that!(knowledge.freshness(&bounds(), at(5100)), eq(ConfigFreshness::KeysValid));
         knowledge.reach(8);
-        expect_that!(knowledge.proof(&bounds(), at(5100)), eq(Proof::KeysHold));
+        expect_that!(knowledge.freshness(&bounds(), at(5100)), eq(ConfigFreshness::KeysValid));
         knowledge.reach(9);
-        expect_that!(knowledge.proof(&bounds(), at(5100)), eq(Proof::Newest));
+        expect_that!(knowledge.freshness(&bounds(), at(5100)), eq(ConfigFreshness::Current));
     }
 
     something_newer_that_does_not_come_outdates_what_is_known => {
-        let mut knowledge = Knowledge::default();
+        let mut knowledge = ControlPlaneState::default();
         for millis in (0..=2000).step_by(400) {
             knowledge.hear_of_newer(9 + millis, at(millis));
             knowledge.confirm(at(millis).monotonic);
         }
-        expect_that!(knowledge.proof(&bounds(), at(1700)), eq(Proof::KeysHold));
-        expect_that!(knowledge.proof(&bounds(), at(1900)), eq(Proof::Outdated));
+        expect_that!(knowledge.freshness(&bounds(), at(1700)), eq(ConfigFreshness::KeysValid));
+        expect_that!(knowledge.freshness(&bounds(), at(1900)), eq(ConfigFreshness::Outdated));
         // Reaching what was heard of first is enough: more follows all the time.
         knowledge.reach(9);
         expect_that!(knowledge.lag(at(2000)), none());
     }
 
     box_that_was_cut_off_serves_on_by_what_it_has => {
-        let mut knowledge = Knowledge::default();
+        let mut knowledge = ControlPlaneState::default();
         knowledge.hear_of_newer(9, at(0));
         knowledge.confirm(at(0).monotonic);
-        expect_that!(knowledge.proof(&bounds(), at(1900)), eq(Proof::Newest));
+        expect_that!(knowledge.freshness(&bounds(), at(1900)), eq(ConfigFreshness::Current));
     }
 
     older_configuration_is_not_taken => {
-        let mut knowledge = Knowledge::default();
+        let mut knowledge = ControlPlaneState::default();
         knowledge.apply(routes(7), at(0));
         expect_that!(knowledge.apply(routes(6), at(1)), eq(&Change::Nothing));
         expect_that!(knowledge.routes().unwrap().version, eq(7));
@@ -137,7 +137,7 @@
     }
 
     unreadable_item_changes_nothing => {
-        let mut knowledge = Knowledge::default();
+        let mut knowledge = ControlPlaneState::default();
         knowledge.apply(routes(7), at(0));
         let faulty = Update::Faulty { item: "x".to_owned(), reason: "y".to_owned() };
         knowledge.apply(faulty, at(1));
@@ -145,7 +145,7 @@
     }
 
     age_counts_from_the_question => {
-        let mut knowledge = Knowledge::default();
+        let mut knowledge = ControlPlaneState::default();
         expect_that!(knowledge.age(at(5)), none());
         knowledge.confirm(at(100).monotonic);
         // A proof that was asked for earlier says less and changes nothing.
@@ -154,7 +154,7 @@
     }
 
     draining_upstream_takes_nothing_new => {
-        let mut knowledge = Knowledge::default();
+        let mut knowledge = ControlPlaneState::default();
         knowledge.apply(upstream("i-1"), at(0));
         let mut draining = listed("i-1", "engine", "ikeja");
         draining.draining = true;
@@ -163,7 +163,7 @@
     }
 
     entry_that_vanishes_from_a_settled_store_is_gone_at_once => {
-        let mut knowledge = Knowledge::default();
+        let mut knowledge = ControlPlaneState::default();
         knowledge.apply(upstream("i-1"), at(0));
         knowledge.apply(Update::UpstreamGone("i-1".to_owned()), at(1));
         expect_that!(open(&knowledge, 2), eq(0));
@@ -194,7 +194,7 @@
     entry_that_vanishes_while_others_reach_the_store_is_gone_at_once => {
         // Fails where a hub that alone is turned away by the store makes all boxes keep
         // what vanishes: servers that had left got 38 requests on a grown day.
-        let mut knowledge = Knowledge::default();
+        let mut knowledge = ControlPlaneState::default();
         knowledge.apply(upstream("i-1"), at(0));
         knowledge.confirm(at(4500).monotonic);
         knowledge.hear_of_store(at(6000));
@@ -225,8 +225,8 @@
 }
 
 /// Returns what a box knows when an entry vanished with six seconds of outage.
-fn lapsed_after_an_outage() -> Knowledge {
-    let mut knowledge = Knowledge::default();
+fn lapsed_after_an_outage() -> ControlPlaneState {
+    let mut knowledge = ControlPlaneState::default();
     knowledge.apply(upstream("i-1"), at(0));
     knowledge.confirm(at(0).monotonic);
     knowledge.hear_of_store(at(6000));
--- a/tests/gateway/starting.rs
+++ b/tests/gateway/initial_sync.rs
@@ -7,7 +7,7 @@
 use super::{at, cases};
 use gatepier::clock::Now;
 use gatepier::gateway::FirstWait;
-use gatepier::gateway::control::first_reads::{FirstRead, Own, plan};
+use gatepier::gateway::control::initial_sync::{FirstRead, Own, plan};
 use gatepier::gateway::control::store::BoxEntry;
 use googletest::prelude::*;
 use std::collections::HashMap;
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -2,22 +2,22 @@
 
 mod boundary;
 mod datagrams;
+mod fetch_planning;
 mod freshness;
+mod initial_sync;
 mod models;
 mod packing;
-mod passing_on;
+mod peer_updates;
 mod placement;
 mod quarantine;
-mod rebirths;
 mod refusals;
 mod rests;
 mod retries;
 mod rollouts;
 mod routes;
-mod spreading;
-mod starting;
 mod streams;
 mod trials;
+mod upstream_restarts;
 mod warm_up;
 
 use gatepier::clock::{Now, WallTime};
--- a/tests/gateway/passing_on.rs
+++ b/tests/gateway/peer_updates.rs
@@ -2,8 +2,8 @@
 
 use super::{at, cases, listed};
 use gatepier::gateway::attempt::upstream::Upstream;
-use gatepier::gateway::control::knowledge::Knowledge;
 use gatepier::gateway::control::mirror::Mirror;
+use gatepier::gateway::control::state::ControlPlaneState;
 use gatepier::gateway::control::store::{BoxEntry, Item, Update};
 use gatepier::gateway::peers::hubs::choose_hubs;
 use gatepier::gateway::peers::messages::in_turn;
@@ -70,7 +70,7 @@
         let mut mirror = Mirror::default();
         mirror.take(vec![item("a", 3), item("b", 5)], 5);
         let changes = mirror.changes_after(3, false);
-        expect_that!(changes.is_all, eq(false));
+        expect_that!(changes.is_snapshot, eq(false));
         expect_that!(keys(&changes.items), elements_are![eq(&"b")]);
         expect_that!(changes.revision, eq(5));
     }
@@ -79,7 +79,7 @@
         let mut mirror = Mirror::default();
         mirror.take(vec![item("a", 3), Item::gone("b", 5)], 5);
         let changes = mirror.changes_after(0, false);
-        expect_that!(changes.is_all, eq(true));
+        expect_that!(changes.is_snapshot, eq(true));
         expect_that!(keys(&changes.items), elements_are![eq(&"a")]);
     }
 
@@ -112,10 +112,10 @@
     }
 
     load_of_other_boxes_is_seen_and_forgotten => {
-        let mut knowledge = Knowledge::default();
+        let mut knowledge = ControlPlaneState::default();
         let update = Update::Upstream(Box::new(listed("i-1", "engine", "ikeja")));
         knowledge.apply(update, at(0));
-        let upstream = knowledge.open_upstreams("engine", at(0)).remove(0);
+        let upstream = knowledge.available_upstreams("engine", at(0)).remove(0);
         let unread = upstream.begin_reading(Duration::from_millis(500));
         let counted = upstream.enter();
         let report = BoxLoad::of("other", &knowledge);
@@ -145,10 +145,10 @@
     long_read_of_another_box_counts_at_once_until_it_is_over => {
         // Fails where only reports tell of it: with 67 boxes they come once a second, and
         // boxes queued long prompts behind each other at one engine.
-        let mut knowledge = Knowledge::default();
+        let mut knowledge = ControlPlaneState::default();
         let update = Update::Upstream(Box::new(listed("i-1", "engine", "ikeja")));
         knowledge.apply(update, at(0));
-        let upstream = knowledge.open_upstreams("engine", at(0)).remove(0);
+        let upstream = knowledge.available_upstreams("engine", at(0)).remove(0);
         let told = LongReads::default();
         told.note("other", &upstream, Duration::from_millis(6));
         told.note("other", &upstream, Duration::from_millis(500));
--- a/tests/gateway/rollouts.rs
+++ b/tests/gateway/rollouts.rs
@@ -1,8 +1,8 @@
 //! Roll-outs: which version serves whom, and when a version is found bad.
 
 use super::{at, cases};
-use gatepier::gateway::control::knowledge::Knowledge;
 use gatepier::gateway::control::rollout::Rollout;
+use gatepier::gateway::control::state::ControlPlaneState;
 use gatepier::gateway::control::store::{RolloutOrder, RolloutRecord, RolloutState, Update};
 use gatepier::gateway::versions::exposure::{ExposureBound, Span};
 use gatepier::gateway::versions::judge::{Evidence, Judgement};
@@ -45,7 +45,7 @@
 
 /// Makes what a box knows of a roll-out.
 fn known(record: Option<RolloutRecord>) -> Rollout {
-    let mut knowledge = Knowledge::default();
+    let mut knowledge = ControlPlaneState::default();
     knowledge.apply(Update::RolloutOrdered(order()), at(0));
     if let Some(record) = record {
         knowledge.apply(Update::RolloutStage(record, 11), at(0));
@@ -320,13 +320,13 @@
     time_of_an_order_goes_on_though_every_box_restarts => {
         // Boxes that were restarted in turn each counted on from the last record: at 22.5 s of a
         // roll-out of 20 s they took it for 10.3 s, and a bad version was still on trial.
-        let mut knowledge = Knowledge::default();
+        let mut knowledge = ControlPlaneState::default();
         knowledge.apply(Update::RolloutOrdered(order()), at(0));
         let first = record(RolloutState::Running, 45, 2 * SECOND);
         knowledge.apply(Update::RolloutStage(first, 11), at(0));
-        knowledge.hear_elapsed(order().revision, 20 * SECOND, at(1000));
-        knowledge.hear_elapsed(order().revision, 9 * SECOND, at(1500));
-        knowledge.hear_elapsed(99, 90 * SECOND, at(1600));
+        knowledge.apply_reported_elapsed(order().revision, 20 * SECOND, at(1000));
+        knowledge.apply_reported_elapsed(order().revision, 9 * SECOND, at(1500));
+        knowledge.apply_reported_elapsed(99, 90 * SECOND, at(1600));
         let elapsed = knowledge.rollout("engine").unwrap().elapsed(at(2000));
         expect_that!(elapsed, some(eq(21 * SECOND)));
     }
@@ -337,13 +337,13 @@
         // what passes between the last writing and the kill is nobody's, 0.7 s each time. It was
         // on trial for as much longer, once beyond what operators allow.
         let started = || {
-            let mut knowledge = Knowledge::default();
+            let mut knowledge = ControlPlaneState::default();
             knowledge.apply(Update::RolloutOrdered(order()), at(0));
             let written = RolloutRecord { unseen_ms: 600, ..record(RolloutState::Running, 45, 6 * SECOND) };
             knowledge.apply(Update::RolloutStage(written, 11), at(0));
             knowledge
         };
-        let unseen = |knowledge: &Knowledge, millis| knowledge.rollout("engine").unwrap().unseen(at(millis));
+        let unseen = |knowledge: &ControlPlaneState, millis| knowledge.rollout("engine").unwrap().unseen(at(millis));
         let half_an_interval = order().duration / 40;
         let mut knowledge = started();
         expect_that!(unseen(&knowledge, 0), eq(2 * half_an_interval));
@@ -354,10 +354,10 @@
         expect_that!(unseen(&knowledge, 2500), eq(2 * half_an_interval));
         // A box that has lived on knows better.
         let mut knowledge = started();
-        knowledge.hear_elapsed(order().revision, 6_700 * SECOND / 1000, at(100));
+        knowledge.apply_reported_elapsed(order().revision, 6_700 * SECOND / 1000, at(100));
         expect_that!(unseen(&knowledge, 100), eq(half_an_interval));
         // Who listened as it was written has missed nothing.
-        let mut knowledge = Knowledge::default();
+        let mut knowledge = ControlPlaneState::default();
         knowledge.apply(Update::RolloutOrdered(order()), at(0));
         let first = record(RolloutState::Running, 45, 2 * SECOND);
         knowledge.apply(Update::RolloutStage(first, 11), at(1700));
--- a/tests/gateway/rebirths.rs
+++ b/tests/gateway/upstream_restarts.rs
@@ -3,8 +3,8 @@
 
 use super::{at, cases, listed};
 use gatepier::gateway::attempt::upstream::Upstream;
-use gatepier::gateway::control::knowledge::{Change, Knowledge};
 use gatepier::gateway::control::mirror::Mirror;
+use gatepier::gateway::control::state::{Change, ControlPlaneState};
 use gatepier::gateway::control::store::{Item, ListedUpstream, Update};
 use gatepier::gateway::place::loads::{BoxLoad, Loads, LongReads};
 use googletest::prelude::*;
@@ -21,12 +21,12 @@
     }
 }
 
-fn list(knowledge: &mut Knowledge, listed: ListedUpstream) -> Change {
+fn list(knowledge: &mut ControlPlaneState, listed: ListedUpstream) -> Change {
     knowledge.apply(Update::Upstream(Box::new(listed)), at(0))
 }
 
-fn open(knowledge: &Knowledge) -> Vec<Rc<Upstream>> {
-    knowledge.open_upstreams("engine", at(0))
+fn open(knowledge: &ControlPlaneState) -> Vec<Rc<Upstream>> {
+    knowledge.available_upstreams("engine", at(0))
 }
 
 fn faulty(instance: &str) -> Update {
@@ -87,12 +87,12 @@
 }
 
 /// Tells a box of items as hubs do: in any order, some of them twice.
-fn tell(items: &[Item], rng: &mut StdRng) -> Knowledge {
+fn tell(items: &[Item], rng: &mut StdRng) -> ControlPlaneState {
     let mut told: Vec<Item> = items.to_vec();
     told.extend(items.iter().filter(|_| rng.random_ratio(1, 3)).cloned());
     told.shuffle(rng);
     let mut mirror = Mirror::default();
-    let mut knowledge = Knowledge::default();
+    let mut knowledge = ControlPlaneState::default();
     for item in told {
         let revision = item.revision;
         for news in mirror.take(vec![item], revision) {
@@ -110,7 +110,7 @@
     upstream_that_starts_again_is_not_blamed_for_its_former_life => {
         // Fails where an id stands for one upstream for good: the new life rested, counted as
         // failing and busy, and was expected to read what the former one had been sent.
-        let mut knowledge = Knowledge::default();
+        let mut knowledge = ControlPlaneState::default();
         list(&mut knowledge, born(1000));
         let former = open(&knowledge).remove(0);
         let _running = former.enter();
@@ -130,7 +130,7 @@
     }
 
     same_life_that_is_listed_anew_keeps_what_is_known_of_it => {
-        let mut knowledge = Knowledge::default();
+        let mut knowledge = ControlPlaneState::default();
         list(&mut knowledge, born(1000));
         open(&knowledge).remove(0).unconnectable(at(0));
         list(&mut knowledge, ListedUpstream { slots: 9, ..born(1000) });
@@ -140,7 +140,7 @@
     what_other_boxes_had_at_the_former_life_does_not_load_the_new_one => {
         // Fails where reports name upstreams by their id: long after the crash the new life
         // looked as full as the former one had been.
-        let mut knowledge = Knowledge::default();
+        let mut knowledge = ControlPlaneState::default();
         list(&mut knowledge, born(1000));
         let former = open(&knowledge).remove(0);
         let _running = former.enter();
@@ -161,19 +161,19 @@
 
     stray_answer_to_a_try_at_the_former_life_leaves_the_new_one_listed => {
         // Fails where a misdirected try drops whatever has the id by then.
-        let mut knowledge = Knowledge::default();
+        let mut knowledge = ControlPlaneState::default();
         list(&mut knowledge, born(1000));
         let former = open(&knowledge).remove(0);
         list(&mut knowledge, born(2000));
-        knowledge.forget_upstream(former.life());
+        knowledge.remove_upstream(former.life());
         expect_that!(open(&knowledge).len(), eq(1));
         let reborn = open(&knowledge).remove(0);
-        knowledge.forget_upstream(reborn.life());
+        knowledge.remove_upstream(reborn.life());
         expect_that!(open(&knowledge).len(), eq(0));
     }
 
     drained_id_that_is_ready_again_is_used => {
-        let mut knowledge = Knowledge::default();
+        let mut knowledge = ControlPlaneState::default();
         list(&mut knowledge, ListedUpstream { draining: true, ..born(1000) });
         expect_that!(open(&knowledge).len(), eq(0));
         list(&mut knowledge, born(2000));
@@ -181,7 +181,7 @@
     }
 
     upstream_whose_clock_was_set_back_is_used_in_its_newest_life => {
-        let mut knowledge = Knowledge::default();
+        let mut knowledge = ControlPlaneState::default();
         list(&mut knowledge, born(2000));
         list(&mut knowledge, born(1000));
         expect_that!(open(&knowledge)[0].life().born, some(eq(1000)));
@@ -189,7 +189,7 @@
 
     spoilt_entry_names_no_upstream_and_is_reported_once => {
         // Fails where the last good entry stays in force.
-        let mut knowledge = Knowledge::default();
+        let mut knowledge = ControlPlaneState::default();
         list(&mut knowledge, born(1000));
         list(&mut knowledge, listed("i-2", "engine", "ikeja"));
         let change = knowledge.apply(faulty("i-1"), at(0));
@@ -207,7 +207,7 @@
     }
 
     entry_that_does_not_tell_the_birth_any_more_is_spoilt => {
-        let mut knowledge = Knowledge::default();
+        let mut knowledge = ControlPlaneState::default();
         list(&mut knowledge, born(1000));
         let change = list(&mut knowledge, listed("i-1", "engine", "ikeja"));
         expect_that!(matches!(change, Change::UpstreamFaulty { .. }), eq(true));
@@ -257,7 +257,7 @@
 
     // Guards against entries that bring back an upstream which has said that it leaves.
     life_that_leaves_by_its_word_is_never_open_again => {
-        let mut knowledge = Knowledge::default();
+        let mut knowledge = ControlPlaneState::default();
         list(&mut knowledge, born(1));
         let life = born(1).life();
         expect_that!(knowledge.note_leaving(&life, at(0)), eq(true));
@@ -276,7 +276,7 @@
     }
 
     lives_that_left_long_ago_are_forgotten => {
-        let mut knowledge = Knowledge::default();
+        let mut knowledge = ControlPlaneState::default();
         let life = born(1).life();
         knowledge.note_leaving(&life, at(0));
         knowledge.forget_leaving(at(601_000));
--- a/tests/spreading.rs
+++ b/tests/spreading.rs
@@ -22,12 +22,12 @@
 use gatepier::gateway::admit::routes::{CallerLimits, RouteTable};
 use gatepier::gateway::attempt::protocol::Headers;
 use gatepier::gateway::attempt::retries::RetryBound;
-use gatepier::gateway::control::follow::take_changes;
 use gatepier::gateway::control::mirror::Changes;
 use gatepier::gateway::control::store::{
-    BoxEntry, ControlStore, Item, Page, RecordWritten, RegisteredBox, RolloutRecord, Update,
-    Watched,
+    BoxEntry, ControlStore, Item, Page, RecordWriteResult, RegisteredBox, RolloutRecord, Update,
+    WatchResult,
 };
+use gatepier::gateway::control::store_sync::apply_changes;
 use gatepier::gateway::peers::messages;
 use gatepier::gateway::settings::{Bounds, GatewaySettings, UnprovedKeys};
 use gatepier::gateway::versions::exposure::ExposureBound;
@@ -81,7 +81,7 @@
         Box::pin(async { Err(StoreError::Unreachable("there is none".to_owned())) })
     }
 
-    fn is_receiving(&self) -> bool {
+    fn is_receiving_response(&self) -> bool {
         false
     }
 
@@ -93,7 +93,7 @@
         away()
     }
 
-    fn watch(&self, _: u64, _: Duration) -> LocalBoxFuture<'_, StoreResult<Watched>> {
+    fn watch(&self, _: u64, _: Duration) -> LocalBoxFuture<'_, StoreResult<WatchResult>> {
         away()
     }
 
@@ -117,7 +117,7 @@
         &'a self,
         _: &'a RolloutRecord,
         _: u64,
-    ) -> LocalBoxFuture<'a, StoreResult<RecordWritten>> {
+    ) -> LocalBoxFuture<'a, StoreResult<RecordWriteResult>> {
         away()
     }
 }
@@ -236,10 +236,10 @@
     let changes = Changes {
         after: revision - 1,
         revision,
-        is_all: false,
+        is_snapshot: false,
         items: vec![item],
     };
-    take_changes(gw, &NoStore, changes, "test");
+    apply_changes(gw, &NoStore, changes, "test");
     gw.knowledge.borrow_mut().confirm(Now::read().monotonic);
 }
 
@@ -323,7 +323,7 @@
         }
         time_until_version(&behind, 1, OPERATORS_BOUND).await.unwrap();
         // The one that told it is the one that it goes on asking.
-        let asked = usize::from(hubs[1].0.hubs.has_askers(Now::read()));
+        let asked = usize::from(hubs[1].0.hubs.has_recent_pollers(Now::read()));
         hubs[asked].2.abort();
         give(&hubs[1 - asked].0, 11, config(2, 40));
         expect_that!(
