--- a/src/gateway/control/mirror.rs
+++ b/src/gateway/control/mirror.rs
@@ -112,9 +112,9 @@
         let ended: Vec<Item> = self
             .items
             .values()
-            .filter(|known| !known.is_gone() && known.revision <= revision)
+            .filter(|known| !known.is_deleted() && known.revision <= revision)
             .filter(|known| !present.contains(known.key.as_str()))
-            .map(|known| Item::gone(&known.key, revision))
+            .map(|known| Item::deleted(&known.key, revision))
             .collect();
         let mut news = self.take(items, revision);
         news.extend(self.take(ended, revision));
@@ -137,7 +137,7 @@
         let mut ended: Vec<(u64, String)> = self
             .items
             .values()
-            .filter(|item| item.is_gone())
+            .filter(|item| item.is_deleted())
             .map(|item| (item.revision, item.key.clone()))
             .collect();
         if ended.len() <= MOST_ENDED {
@@ -164,7 +164,11 @@
         let is_snapshot = after < self.floor || after == 0;
         let newer = (after.saturating_add(1), String::new())..;
         let wanted: Vec<&Item> = match is_snapshot {
-            true => self.items.values().filter(|item| !item.is_gone()).collect(),
+            true => self
+                .items
+                .values()
+                .filter(|item| !item.is_deleted())
+                .collect(),
             false => self
                 .by_revision
                 .range(newer)
--- a/src/gateway/control/rollout_leader.rs
+++ b/src/gateway/control/rollout_leader.rs
@@ -110,7 +110,7 @@
                 condemned = progress.condemned;
                 "roll-out taken on: {:?}", next.state
             );
-            let update = Update::RolloutStage(next, revision);
+            let update = Update::RolloutRecorded(next, revision);
             gw.knowledge.borrow_mut().apply(update, Now::read());
             Some(revision)
         }
--- a/src/gateway/control/state.rs
+++ b/src/gateway/control/state.rs
@@ -124,7 +124,7 @@
                 self.rollouts.entry(service.clone()).or_default().order = None;
                 Change::Rollout(service)
             }
-            Update::RolloutStage(record, revision) => self.take_record(record, revision, now),
+            Update::RolloutRecorded(record, revision) => self.take_record(record, revision, now),
             Update::HallEvacuated(hall) => self.evacuate(hall),
             Update::HallReturned(hall) => self.give_back(hall, now),
             Update::Box(entry) => self.take_box(entry),
--- a/src/gateway/control/store.rs
+++ b/src/gateway/control/store.rs
@@ -28,7 +28,7 @@
 
 impl Item {
     /// Makes the news that an item is gone since a revision.
-    pub fn gone(key: &str, revision: u64) -> Self {
+    pub fn deleted(key: &str, revision: u64) -> Self {
         Self {
             key: key.to_owned(),
             value: None,
@@ -38,7 +38,7 @@
     }
 
     /// Tells whether the item is gone.
-    pub fn is_gone(&self) -> bool {
+    pub fn is_deleted(&self) -> bool {
         self.value.is_none()
     }
 }
@@ -65,7 +65,7 @@
     /// The order of this service was taken back.
     RolloutCancelled(String),
     /// How far the leading box has taken a roll-out.
-    RolloutStage(RolloutRecord, u64),
+    RolloutRecorded(RolloutRecord, u64),
     /// The operators want nothing more sent to the upstreams of this hall.
     HallEvacuated(String),
     /// The upstreams of this hall may be used again.
--- a/tests/gateway/packing.rs
+++ b/tests/gateway/packing.rs
@@ -38,7 +38,7 @@
         expect_that!(whole.unpack(None), ok(eq(&new)));
         let difference = PackedItem::pack(&new, Some(&old));
         expect_that!(difference.unpack(Some(&old)), ok(eq(&new)));
-        let gone = Item::gone("config", 11);
+        let gone = Item::deleted("config", 11);
         expect_that!(PackedItem::pack(&gone, Some(&new)).unpack(Some(&new)), ok(eq(&gone)));
     }
 
--- a/tests/gateway/peer_updates.rs
+++ b/tests/gateway/peer_updates.rs
@@ -77,7 +77,7 @@
 
     box_that_knows_nothing_gets_everything => {
         let mut mirror = Mirror::default();
-        mirror.take(vec![item("a", 3), Item::gone("b", 5)], 5);
+        mirror.take(vec![item("a", 3), Item::deleted("b", 5)], 5);
         let changes = mirror.changes_after(0, false);
         expect_that!(changes.is_snapshot, eq(true));
         expect_that!(keys(&changes.items), elements_are![eq(&"a")]);
@@ -90,7 +90,7 @@
         let changes = mirror.changes_after(4, false);
         expect_that!(keys(&changes.items), elements_are![eq(&"b")]);
         let behind = Mirror::default();
-        expect_that!(behind.unpack(changes).unwrap().items[0].is_gone(), eq(true));
+        expect_that!(behind.unpack(changes).unwrap().items[0].is_deleted(), eq(true));
     }
 
     older_state_of_an_item_is_no_news => {
--- a/tests/gateway/rollouts.rs
+++ b/tests/gateway/rollouts.rs
@@ -48,7 +48,7 @@
     let mut knowledge = ControlPlaneState::default();
     knowledge.apply(Update::RolloutOrdered(order()), at(0));
     if let Some(record) = record {
-        knowledge.apply(Update::RolloutStage(record, 11), at(0));
+        knowledge.apply(Update::RolloutRecorded(record, 11), at(0));
     }
     knowledge.rollout("engine").unwrap().clone()
 }
@@ -323,7 +323,7 @@
         let mut knowledge = ControlPlaneState::default();
         knowledge.apply(Update::RolloutOrdered(order()), at(0));
         let first = record(RolloutState::Running, 45, 2 * SECOND);
-        knowledge.apply(Update::RolloutStage(first, 11), at(0));
+        knowledge.apply(Update::RolloutRecorded(first, 11), at(0));
         knowledge.apply_reported_elapsed(order().revision, 20 * SECOND, at(1000));
         knowledge.apply_reported_elapsed(order().revision, 9 * SECOND, at(1500));
         knowledge.apply_reported_elapsed(99, 90 * SECOND, at(1600));
@@ -340,7 +340,7 @@
             let mut knowledge = ControlPlaneState::default();
             knowledge.apply(Update::RolloutOrdered(order()), at(0));
             let written = RolloutRecord { unseen_ms: 600, ..record(RolloutState::Running, 45, 6 * SECOND) };
-            knowledge.apply(Update::RolloutStage(written, 11), at(0));
+            knowledge.apply(Update::RolloutRecorded(written, 11), at(0));
             knowledge
         };
         let unseen = |knowledge: &ControlPlaneState, millis| knowledge.rollout("engine").unwrap().unseen(at(millis));
@@ -350,7 +350,7 @@
         // What is written from then on counts it once.
         let mut next = record(RolloutState::Running, 45, 8 * SECOND);
         next.unseen_ms = 1200;
-        knowledge.apply(Update::RolloutStage(next, 12), at(2000));
+        knowledge.apply(Update::RolloutRecorded(next, 12), at(2000));
         expect_that!(unseen(&knowledge, 2500), eq(2 * half_an_interval));
         // A box that has lived on knows better.
         let mut knowledge = started();
@@ -360,7 +360,7 @@
         let mut knowledge = ControlPlaneState::default();
         knowledge.apply(Update::RolloutOrdered(order()), at(0));
         let first = record(RolloutState::Running, 45, 2 * SECOND);
-        knowledge.apply(Update::RolloutStage(first, 11), at(1700));
+        knowledge.apply(Update::RolloutRecorded(first, 11), at(1700));
         expect_that!(unseen(&knowledge, 1700), eq(Duration::ZERO));
         let compared = record(RolloutState::Running, 400, 14 * SECOND);
         let state = |unseen| {
