--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -1,5 +1,5 @@
-//! What the box knows of the operators' wishes and of the fleet, and how it keeps that fresh
-//! by the platform's store.
+//! Control plane of a box: its copy of the configuration, upstream list, roll-outs and box
+//! membership, and the synchronization of that copy with the platform's store.
 
 pub mod initial_sync;
 pub mod lag;
--- a/src/gateway/control/initial_sync.rs
+++ b/src/gateway/control/initial_sync.rs
@@ -1,17 +1,18 @@
-//! How a box that starts learns everything, also where hundreds start at a time.
+//! Initial sync: how a starting box gets the complete control-plane state, even when hundreds of
+//! boxes start at once.
 //!
-//! Everything takes some hundred kilobytes as the store writes it. One box reads that in a
-//! tenth of a second; 295 boxes that lost power together share the store's link for 1.4 s.
-//! So in each hall the few boxes with the widest links read the store, and the others get it
-//! from them, compressed and packed once for all. Nobody is elected and nobody is waited for
-//! without end: each box has a turn at which it reads the store by itself if nothing has come
-//! until then. See `docs/design/starting.md`.
+//! The complete state is some hundred kilobytes as the store sends it. A single box reads that in
+//! 0.1 s, but 295 boxes that lost power together share the store's link and take 1.4 s. Therefore,
+//! in each hall only the few boxes with the widest links read the store, and the others fetch the
+//! state from them, compressed and packed once for all. There is no election and no unbounded wait:
+//! each box reads the store itself after a staggered delay if it has received nothing until then.
+//! See `docs/design/starting.md`.
 
 use super::store::{BoxEntry, ControlStore, RegisteredBox};
-use super::store_sync::{apply_changes, read_everything};
+use super::store_sync::{apply_changes, read_snapshot};
 use crate::clock::{Now, millis};
 use crate::gateway::Gateway;
-use crate::gateway::peers::fetch::{Everything, Progress, fetch_everything};
+use crate::gateway::peers::fetch::{FetchProgress, Snapshot, fetch_snapshot};
 use futures::future::{Either, select};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -20,60 +21,61 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Boxes of a hall that read the store at once: one may be dead and one slow. In six halls
-/// they read 11 MB, a tenth of a second of the store's link.
-const READERS: usize = 3;
-/// The fewest readers of a hall with as many boxes: one may be dead.
-const LEAST_READERS: usize = 2;
-/// How many times narrower than the widest link that of a reader may be. Everything takes a narrow
-/// box of 10 Mbit/s half a second to read, and a wide one of 200 a few milliseconds.
-const TIMES_NARROWER: u32 = 4;
-/// The time after which the first of the others reads the store by itself. The readers take
-/// some 0.1 s to read and as long to unpack it with an eighth of a core.
-const FIRST_TURN: Duration = Duration::from_millis(300);
-/// What the first turn waits for beyond that, in times that a call took: a slow store keeps
-/// the readers for a few calls.
-const CALLS_OF_A_READER: u32 = 3;
-/// The time between the turns of two boxes of a hall: the store's link carries what one box
-/// in each of six halls reads in 30 ms.
-const TURN_INTERVAL: Duration = Duration::from_millis(30);
-/// The pause before the next reader is asked after one that failed.
-const NEXT_READER_PAUSE: Duration = Duration::from_millis(20);
-/// How often it is looked, once a turn has come, whether bytes still come from a reader.
-const PROGRESS_LOOK: Duration = Duration::from_millis(10);
+/// The most boxes of a hall that read the store at once, so that one may be dead and one slow. In
+/// six halls they read 11 MB, which takes 0.1 s of the store's link.
+const MAX_READERS: usize = 3;
+/// The fewest boxes of a hall that read the store, if the hall has as many: one may be dead.
+const MIN_READERS: usize = 2;
+/// A reader's link must be less than this many times narrower than the widest one. Reading the
+/// complete state takes 0.5 s at 10 Mbit/s and a few milliseconds at 200 Mbit/s.
+const MAX_LINK_RATIO: u32 = 4;
+/// The delay after which the first of the other boxes reads the store itself. The readers take
+/// about 0.1 s to read the state and as long to unpack it with an eighth of a core.
+const FIRST_STORE_READ_DELAY: Duration = Duration::from_millis(300);
+/// The number of call durations added to that delay: a slow store keeps the readers busy for a few
+/// calls.
+const STORE_CALLS_PER_READER: u32 = 3;
+/// The additional delay of each further box of a hall: in 30 ms the store's link carries what one
+/// box in each of six halls reads.
+const STORE_READ_STAGGER: Duration = Duration::from_millis(30);
+/// The pause after a failed reader before the next one is tried.
+const NEXT_READER_DELAY: Duration = Duration::from_millis(20);
+/// How often a box whose delay has passed checks whether bytes still arrive from a reader.
+const PROGRESS_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a box does to learn everything.
+/// How a box gets the complete state.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum FirstRead {
-    /// It reads the store at once.
-    Store,
-    /// It asks boxes of its hall, in this order.
-    Boxes {
-        /// The boxes, beginning anew at the end.
+pub enum SyncPlan {
+    /// Read the store at once.
+    ReadStore,
+    /// Fetch from boxes of the own hall.
+    FetchFromBoxes {
+        /// The boxes to try, in this order, starting over at the end.
         readers: Vec<SocketAddr>,
-        /// How long until it reads the store by itself.
-        turn: Duration,
+        /// After this delay the box reads the store itself.
+        store_read_delay: Duration,
     },
 }
 
 /// The box that starts.
 #[derive(Debug, Clone, Copy)]
-pub struct Own {
-    /// Where other boxes reach it.
+pub struct StartingBox {
+    /// The address at which other boxes reach it.
     pub address: SocketAddr,
-    /// The rate of its link in megabits a second.
+    /// The bandwidth of its link in megabits per second.
     pub link_mbps: u32,
 }
 
-/// Decides how a box learns everything, by the boxes that are registered in its hall and by
-/// how long the store took to say so.
+/// Decides how a box gets the complete state, given the boxes registered in its hall and the
+/// duration of the store call that listed them.
 ///
-/// Entries of former lives count: a box that lost its power is back at its address.
-pub fn plan<'a>(
-    own: Own,
+/// Entries of processes that have ended count too: a box that lost power is back at the same
+/// address.
+pub fn plan_initial_sync<'a>(
+    own: StartingBox,
     hall: impl IntoIterator<Item = &'a BoxEntry>,
-    call_took: Duration,
-) -> FirstRead {
+    call_duration: Duration,
+) -> SyncPlan {
     let mut links = BTreeMap::from([(own.address, own.link_mbps)]);
     for entry in hall {
         let link = links.entry(entry.address).or_default();
@@ -84,73 +86,76 @@
         .map(|(address, link)| (Reverse(link), address))
         .collect();
     order.sort_unstable();
-    let readers = reader_count(&order);
+    let readers = count_readers(&order);
     let order: Vec<SocketAddr> = order.into_iter().map(|(_, address)| address).collect();
-    let place = order.iter().position(|address| *address == own.address);
-    let place = place.unwrap_or(order.len());
-    if place < readers.reading {
-        return FirstRead::Store;
+    let rank = order.iter().position(|address| *address == own.address);
+    let rank = rank.unwrap_or(order.len());
+    if rank < readers.total {
+        return SyncPlan::ReadStore;
     }
-    let turns_before = u32::try_from(place - readers.reading).unwrap_or(u32::MAX);
-    let mut asked = order;
-    asked.truncate(readers.reading);
-    // In turn, so that each reader has as many to tell; the narrow ones are asked last.
-    let (wide, _narrow) = asked.split_at_mut(readers.wide);
-    wide.rotate_left(place % readers.wide);
-    FirstRead::Boxes {
-        readers: asked,
-        turn: FIRST_TURN + CALLS_OF_A_READER * call_took + turns_before * TURN_INTERVAL,
+    let boxes_ahead = u32::try_from(rank - readers.total).unwrap_or(u32::MAX);
+    let mut addresses = order;
+    addresses.truncate(readers.total);
+    // Rotated so that each reader serves about as many boxes; the narrow ones are tried last.
+    let (wide, _narrow) = addresses.split_at_mut(readers.wide);
+    wide.rotate_left(rank % readers.wide);
+    SyncPlan::FetchFromBoxes {
+        readers: addresses,
+        store_read_delay: FIRST_STORE_READ_DELAY
+            + STORE_CALLS_PER_READER * call_duration
+            + boxes_ahead * STORE_READ_STAGGER,
     }
 }
 
-/// The boxes of a hall that read the store at once.
+/// How many boxes of a hall read the store at once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct ReaderCount {
-    /// All of them, one at least.
-    reading: usize,
-    /// Those among them whose links are about as wide as the widest one.
+struct ReaderCounts {
+    /// All readers, at least one.
+    total: usize,
+    /// The readers among them whose links are about as wide as the widest one.
     wide: usize,
 }
 
-/// Returns how many boxes of a hall read the store at once, by their links, the widest first.
+/// Returns how many boxes of a hall read the store at once. `order` lists their links, the widest
+/// first.
 ///
-/// A narrow one takes many times as long as a wide one, and whoever asks it waits for that, so it
-/// is a reader only where there would be one alone.
-fn reader_count(order: &[(Reverse<u32>, SocketAddr)]) -> ReaderCount {
+/// A narrow link takes many times as long as a wide one, and so do the boxes that wait for it. A
+/// box with a narrow link is a reader only if there would otherwise be a single reader.
+fn count_readers(order: &[(Reverse<u32>, SocketAddr)]) -> ReaderCounts {
     let widest = order.first().map_or(0, |(Reverse(link), _)| *link);
     let is_wide = |(Reverse(link), _): &&(Reverse<u32>, SocketAddr)| {
-        link.saturating_mul(TIMES_NARROWER) > widest || widest == 0
+        link.saturating_mul(MAX_LINK_RATIO) > widest || widest == 0
     };
     let wide = order
         .iter()
-        .take(READERS)
+        .take(MAX_READERS)
         .take_while(is_wide)
         .count()
         .max(1);
-    ReaderCount {
-        reading: wide.max(LEAST_READERS).min(order.len().max(1)),
+    ReaderCounts {
+        total: wide.max(MIN_READERS).min(order.len().max(1)),
         wide,
     }
 }
 
-/// The boxes of the own hall, as the store told them.
+/// The boxes registered in the own hall, as the store listed them.
 #[derive(Debug)]
-pub struct Hall {
+pub struct HallBoxes {
     boxes: Vec<RegisteredBox>,
-    call_took: Duration,
+    call_duration: Duration,
 }
 
-impl Hall {
-    /// Tells whether no box is registered in the hall.
+impl HallBoxes {
+    /// Returns whether no box is registered in the hall.
     pub fn is_empty(&self) -> bool {
         self.boxes.is_empty()
     }
 
-    /// Returns what a former life of this box left registered, if it would be registered the
-    /// same way again.
-    pub fn former_entry(&self, gw: &Gateway) -> Option<RegisteredBox> {
+    /// Returns the registration that a previous process of this box left, if this process would
+    /// register identically.
+    pub fn previous_registration(&self, gw: &Gateway) -> Option<RegisteredBox> {
         let own = BoxEntry::of(gw);
-        let is_same = |known: &&RegisteredBox| {
+        let is_equivalent = |known: &&RegisteredBox| {
             let same_box = BoxEntry {
                 name: own.name.clone(),
                 registered: own.registered,
@@ -158,22 +163,22 @@
             };
             same_box == own
         };
-        self.boxes.iter().find(is_same).cloned()
+        self.boxes.iter().find(is_equivalent).cloned()
     }
 
-    fn plan(&self, gw: &Gateway) -> FirstRead {
+    fn plan(&self, gw: &Gateway) -> SyncPlan {
         let settings = gw.settings();
-        let own = Own {
+        let own = StartingBox {
             address: settings.peers,
             link_mbps: settings.link_mbps,
         };
         let boxes = self.boxes.iter().map(|known| &known.entry);
-        plan(own, boxes, self.call_took)
+        plan_initial_sync(own, boxes, self.call_duration)
     }
 }
 
-/// Asks the store which boxes are in the hall; none where it does not say.
-pub async fn read_hall(gw: &Gateway, store: &dyn ControlStore) -> Option<Hall> {
+/// Reads from the store which boxes are registered in the hall; `None` if the call fails.
+pub async fn read_hall(gw: &Gateway, store: &dyn ControlStore) -> Option<HallBoxes> {
     let settings = gw.settings();
     let sent = Now::read();
     gw.telemetry.store_called("hall");
@@ -181,8 +186,11 @@
         Ok(boxes) => {
             let now = Now::read();
             gw.store_answered(now);
-            let call_took = now.monotonic.saturating_sub(sent.monotonic);
-            Some(Hall { boxes, call_took })
+            let call_duration = now.monotonic.saturating_sub(sent.monotonic);
+            Some(HallBoxes {
+                boxes,
+                call_duration,
+            })
         }
         Err(err) => {
             gw.store_failed(&err, Now::read());
@@ -191,21 +199,24 @@
     }
 }
 
-/// Learns everything that the store holds, from boxes of the hall or from the store itself.
-pub async fn learn_everything(gw: &Gateway, store: &dyn ControlStore, hall: Option<Hall>) {
-    let plan = hall.map_or(FirstRead::Store, |hall| hall.plan(gw));
+/// Gets the complete state from boxes of the hall or from the store itself.
+pub async fn run_initial_sync(gw: &Gateway, store: &dyn ControlStore, hall: Option<HallBoxes>) {
+    let plan = hall.map_or(SyncPlan::ReadStore, |hall| hall.plan(gw));
     match plan {
-        FirstRead::Store => read_everything(gw, store).await,
-        FirstRead::Boxes { readers, turn } => {
+        SyncPlan::ReadStore => read_snapshot(gw, store).await,
+        SyncPlan::FetchFromBoxes {
+            readers,
+            store_read_delay,
+        } => {
             log::info!(
                 readers = readers.len(),
-                turn_ms = millis(turn);
-                "everything is asked of boxes of this hall"
+                turn_ms = millis(store_read_delay);
+                "fetching the initial state from boxes of this hall"
             );
-            let progress = Progress::default();
-            let told = ask_readers(gw, store, &readers, &progress);
-            let own_turn = read_at_turn(gw, store, turn, &progress);
-            match select(pin!(told), pin!(own_turn)).await {
+            let progress = FetchProgress::default();
+            let from_readers = fetch_from_readers(gw, store, &readers, &progress);
+            let from_store = read_store_after_delay(gw, store, store_read_delay, &progress);
+            match select(pin!(from_readers), pin!(from_store)).await {
                 Either::Left(_) => {}
                 Either::Right(_) => log::info!("nothing came from boxes, the store was read"),
             }
@@ -213,41 +224,48 @@
     }
 }
 
-/// Asks one reader after the other until one has told everything.
-async fn ask_readers(
+/// Tries one reader after the other until one has sent a usable snapshot.
+async fn fetch_from_readers(
     gw: &Gateway,
     store: &dyn ControlStore,
     readers: &[SocketAddr],
-    progress: &Progress,
+    progress: &FetchProgress,
 ) {
     for reader in readers.iter().cycle() {
-        let asked = Now::read();
-        progress.begin_anew();
+        let sent_at = Now::read();
+        progress.reset();
         let from = reader.to_string();
-        match fetch_everything(*reader, progress).await {
-            Ok(everything) if take(gw, store, &everything, asked) => {
-                let took = Now::read().monotonic.saturating_sub(asked.monotonic);
+        match fetch_snapshot(*reader, progress).await {
+            Ok(snapshot) if apply_snapshot(gw, store, &snapshot, sent_at) => {
+                let elapsed = Now::read().monotonic.saturating_sub(sent_at.monotonic);
                 log::info!(
                     from = from.as_str(),
                     bytes = progress.bytes(),
-                    took_ms = millis(took);
-                    "everything was told by a box"
+                    took_ms = millis(elapsed);
+                    "fetched the initial state from a box"
                 );
                 return;
             }
-            Ok(_) => log::warn!(from = from.as_str(); "what came is of no use"),
-            Err(err) => log::debug!(from = from.as_str(); "everything did not come: {err}"),
+            Ok(_) => log::warn!(from = from.as_str(); "the fetched initial state is unusable"),
+            Err(err) => {
+                log::debug!(from = from.as_str(); "fetching the initial state failed: {err}")
+            }
         }
-        progress.begin_anew();
-        sleep(NEXT_READER_PAUSE).await;
+        progress.reset();
+        sleep(NEXT_READER_DELAY).await;
     }
 }
 
-/// Takes what a reader told; false if it cannot be used.
-fn take(gw: &Gateway, store: &dyn ControlStore, told: &Everything, asked: Now) -> bool {
-    gw.telemetry.received("first", told.changes.len());
-    let as_of = told.as_of(asked);
-    let unpacked = gw.mirror.borrow().unpack(told.changes.clone());
+/// Applies a reader's snapshot; returns false if it is unusable.
+fn apply_snapshot(
+    gw: &Gateway,
+    store: &dyn ControlStore,
+    snapshot: &Snapshot,
+    sent_at: Now,
+) -> bool {
+    gw.telemetry.received("first", snapshot.changes.len());
+    let as_of = snapshot.as_of(sent_at);
+    let unpacked = gw.mirror.borrow().unpack(snapshot.changes.clone());
     let changes = match unpacked {
         Ok(changes) if changes.is_snapshot && changes.revision > 0 => changes,
         _ => return false,
@@ -259,11 +277,16 @@
     gw.knowledge.borrow().routes().is_some()
 }
 
-/// Reads the store by itself once the turn has come, unless bytes come from a reader.
-async fn read_at_turn(gw: &Gateway, store: &dyn ControlStore, turn: Duration, progress: &Progress) {
-    sleep(turn).await;
+/// Reads the store after the delay, unless a transfer from a reader is in progress by then.
+async fn read_store_after_delay(
+    gw: &Gateway,
+    store: &dyn ControlStore,
+    store_read_delay: Duration,
+    progress: &FetchProgress,
+) {
+    sleep(store_read_delay).await;
     while progress.bytes() > 0 {
-        sleep(PROGRESS_LOOK).await;
+        sleep(PROGRESS_POLL_INTERVAL).await;
     }
-    read_everything(gw, store).await;
+    read_snapshot(gw, store).await;
 }
--- a/src/gateway/control/lag.rs
+++ b/src/gateway/control/lag.rs
@@ -1,48 +1,48 @@
-//! How long a box has known that something newer exists than it has.
+//! Tracks how long a box has been behind a revision that it knows to exist.
 
 use crate::clock::Now;
 use std::time::Duration;
 
-/// How long a box that hears of nothing newer any more is taken to be in touch: two and a
-/// half questions. A box that was cut off serves on by what it has.
-const HEARD_LIFETIME: Duration = Duration::from_secs(1);
+/// How long a report of a newer revision counts as current: two and a half poll intervals. A box
+/// without recent reports is considered disconnected and keeps serving with the state that it has.
+const REPORT_LIFETIME: Duration = Duration::from_secs(1);
 
-/// What a box has heard of that it does not have yet.
+/// The newer revision that this box has been told of but has not reached yet, if any.
 #[derive(Debug, Default)]
-pub struct Lag(Option<Newer>);
+pub struct Lag(Option<NewerRevision>);
 
-/// Something that exists and that this box does not have yet.
+/// A revision that exists and that this box has not reached yet.
 #[derive(Debug, Clone, Copy)]
-struct Newer {
-    /// The revision that is reached with it.
+struct NewerRevision {
+    /// The revision that this box has to reach.
     revision: u64,
-    /// When this box first heard of it, and when it last heard of anything newer.
-    since: Duration,
-    heard: Duration,
+    /// When this box was first told of this revision, and when it was last told of any newer one.
+    first_reported: Duration,
+    last_reported: Duration,
 }
 
 impl Lag {
-    /// Records that the store, or another box, has reached a revision that this one lacks.
-    pub fn hear_of_newer(&mut self, revision: u64, now: Now) {
-        let heard = now.monotonic;
-        let newer = self.0.get_or_insert(Newer {
+    /// Records that the store or another box has a revision that this box lacks.
+    pub fn record_newer_revision(&mut self, revision: u64, now: Now) {
+        let reported = now.monotonic;
+        let newer = self.0.get_or_insert(NewerRevision {
             revision,
-            since: heard,
-            heard,
+            first_reported: reported,
+            last_reported: reported,
         });
-        newer.heard = heard;
+        newer.last_reported = reported;
     }
 
-    /// Records that a revision has been reached.
-    pub fn reach(&mut self, revision: u64) {
+    /// Records that this box has reached a revision.
+    pub fn record_reached_revision(&mut self, revision: u64) {
         self.0 = self.0.filter(|newer| newer.revision > revision);
     }
 
-    /// Returns how long this box has known that something newer exists, while it still hears
-    /// so; none if it has the newest that it heard of.
-    pub fn lasts(&self, now: Now) -> Option<Duration> {
+    /// Returns how long this box has been behind, as long as it still gets reports of newer
+    /// revisions; `None` if it has reached the reported revision.
+    pub fn duration(&self, now: Now) -> Option<Duration> {
         let newer = self.0?;
-        let is_heard = now.monotonic.saturating_sub(newer.heard) < HEARD_LIFETIME;
-        is_heard.then(|| now.monotonic.saturating_sub(newer.since))
+        let is_recent = now.monotonic.saturating_sub(newer.last_reported) < REPORT_LIFETIME;
+        is_recent.then(|| now.monotonic.saturating_sub(newer.first_reported))
     }
 }
--- a/src/gateway/control/membership.rs
+++ b/src/gateway/control/membership.rs
@@ -1,6 +1,6 @@
-//! Registers the box with the others, and tells which of them leads.
+//! Registers the box in the store and determines which registered box leads.
 //!
-//! A box is a member as long as its lease in the store lives. See `docs/design/platform.md`.
+//! A box is a member as long as its lease in the store is alive. See `docs/design/platform.md`.
 
 use super::store::{BoxEntry, ControlStore, RegisteredBox};
 use crate::clock::Now;
@@ -9,67 +9,67 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How long a box stays a member without a sign of life: long enough to bear two lost
-/// renewals, short enough that a roll-out is not without a leading box for long.
-const LEASE: Duration = Duration::from_secs(8);
-/// The time between two renewals.
-const RENEWAL: Duration = Duration::from_millis(2600);
+/// Time to live of a box's lease. Long enough to survive two lost renewals, short enough that a
+/// roll-out is not without a leader for long after a crash.
+const LEASE_TTL: Duration = Duration::from_secs(8);
+/// The time between two lease renewals.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(2600);
 
 /// Keeps the box registered until it is asked to stop.
 ///
-/// A box that stops ends its lease by itself and must not register anew: the others would
-/// take it for a member until that lease runs out, long after its end.
+/// A stopping box releases its lease and must not register again: the other boxes would treat it as
+/// a member until the new lease expires, long after the process has ended.
 ///
-/// What a former life left registered is taken over if its lease still lives: one call of the
-/// cheapest kind in place of two that write, and no news for the other boxes. When 295 boxes
-/// come back together, that is 590 calls.
-pub async fn stay_registered(
+/// If the lease of the previous process is still alive, its registration is reused. That takes one
+/// call of the cheapest kind instead of two writes, and causes no membership change at the other
+/// boxes; when 295 boxes restart together, it saves 590 write calls.
+pub async fn maintain_registration(
     gw: Rc<Gateway>,
     store: Rc<dyn ControlStore>,
-    former: Option<RegisteredBox>,
+    previous: Option<RegisteredBox>,
 ) {
-    if let Some(former) = former {
-        take_over(&gw, &*store, former).await;
+    if let Some(previous) = previous {
+        take_over_registration(&gw, &*store, previous).await;
     }
     let entry = BoxEntry::of(&gw);
     while !gw.is_stopping() {
         gw.telemetry.store_called("register");
-        match store.register(&entry, LEASE).await {
+        match store.register(&entry, LEASE_TTL).await {
             Ok(lease) => {
                 log::info!(lease, box_name = entry.name.as_str(); "registered");
                 hold_lease(&gw, &*store, lease).await;
             }
             Err(err) => {
                 gw.store_failed(&err, Now::read());
-                sleep(RENEWAL).await;
+                sleep(RENEWAL_INTERVAL).await;
             }
         }
     }
 }
 
-async fn take_over(gw: &Gateway, store: &dyn ControlStore, former: RegisteredBox) {
+async fn take_over_registration(gw: &Gateway, store: &dyn ControlStore, previous: RegisteredBox) {
     gw.telemetry.store_called("renew");
-    match store.renew(former.lease).await {
+    match store.renew(previous.lease).await {
         Ok(true) => {
-            let (lease, name) = (former.lease, former.entry.name.as_str());
+            let (lease, name) = (previous.lease, previous.entry.name.as_str());
             log::info!(lease, box_name = name; "the former life's registration is taken over");
             hold_lease(gw, store, lease).await;
         }
-        Ok(false) => log::info!(lease = former.lease; "the former life's lease is over"),
+        Ok(false) => log::info!(lease = previous.lease; "the previous process's lease has expired"),
         Err(err) => gw.store_failed(&err, Now::read()),
     }
 }
 
-/// Keeps a lease for as long as it lives.
+/// Holds a lease and renews it until it is lost or the box stops.
 async fn hold_lease(gw: &Gateway, store: &dyn ControlStore, lease: u64) {
     gw.lease.set(Some(lease));
-    keep_lease(gw, store, lease).await;
+    renew_until_lost(gw, store, lease).await;
     gw.lease.set(None);
-    log::warn!(lease; "the lease is over");
+    log::warn!(lease; "lost the lease of this box's registration");
 }
 
 impl BoxEntry {
-    /// Returns the entry under which a box registers.
+    /// Returns the entry under which this box registers.
     pub fn of(gw: &Gateway) -> Self {
         let settings = gw.settings();
         Self {
@@ -82,10 +82,10 @@
     }
 }
 
-/// Renews a lease until the store says that it is over, or the box stops.
-async fn keep_lease(gw: &Gateway, store: &dyn ControlStore, lease: u64) {
+/// Renews a lease until the store reports that it has expired or the box stops.
+async fn renew_until_lost(gw: &Gateway, store: &dyn ControlStore, lease: u64) {
     loop {
-        sleep(RENEWAL).await;
+        sleep(RENEWAL_INTERVAL).await;
         if gw.is_stopping() {
             return;
         }
@@ -98,23 +98,24 @@
     }
 }
 
-/// Tells whether this box leads: it is the first in line.
-pub fn leads(gw: &Gateway, now: Now) -> bool {
-    place_in_line(gw, now) == Some(0)
+/// Returns whether this box is the leader.
+pub fn is_leader(gw: &Gateway, now: Now) -> bool {
+    leadership_rank(gw, now) == Some(0)
 }
 
-/// Returns this box's place among those registered longest that are heard of; none if it hears
-/// of less than half of the others, since whoever leads decides by what they count. Two that
-/// both think that they lead do no harm, since records are written under a condition.
+/// Returns this box's rank among the live registered boxes, ordered by registration; rank 0 is the
+/// leader. `None` if this box hears from less than half of the others, since the leader's decisions
+/// depend on the other boxes' counts. Two boxes that both believe to be the leader do no harm,
+/// because records are written conditionally.
 ///
-/// By address and not by life, so that a box which was restarted leads at once and not only
-/// when the lease of its last life is over.
-pub fn place_in_line(gw: &Gateway, now: Now) -> Option<usize> {
+/// Boxes are compared by address and not by process, so that a restarted leader leads again at once
+/// instead of waiting for the lease of its previous process to expire.
+pub fn leadership_rank(gw: &Gateway, now: Now) -> Option<usize> {
     let own = gw.settings().peers;
-    let knowledge = gw.knowledge.borrow();
-    let boxes = knowledge.boxes_by_registration();
-    let lively = gw.heard.borrow().lively(&boxes, own, now);
-    let hears_enough = lively.len() * 2 > boxes.len();
-    let place = lively.iter().position(|entry| entry.address == own);
-    place.filter(|_| hears_enough)
+    let state = gw.knowledge.borrow();
+    let boxes = state.boxes_by_registration();
+    let live = gw.heard.borrow().live_boxes(&boxes, own, now);
+    let sees_majority = live.len() * 2 > boxes.len();
+    let rank = live.iter().position(|entry| entry.address == own);
+    rank.filter(|_| sees_majority)
 }
--- a/src/gateway/control/mirror.rs
+++ b/src/gateway/control/mirror.rs
@@ -1,94 +1,95 @@
-//! The store's items as this box knows them, to be passed on to other boxes.
+//! A mirror of the store's items, from which other boxes are served.
 //!
-//! Items that are gone stay as news of their end, so that a box that is behind hears of
-//! it. Of large items the states before stay too, so that a box which has one of them is
-//! told the difference alone. See `docs/design/spreading.md`.
+//! Deleted items are kept as tombstones, so that a box that is behind learns of the deletion.
+//! Earlier states of large items are kept as well, so that a box that has one of them only needs a
+//! delta. See `docs/design/spreading.md`.
 
 use super::store::Item;
-use crate::gateway::peers::packing::{COMPRESSED_FROM, PackedItem, Unusable};
+use crate::gateway::peers::packing::{COMPRESSION_MIN_BYTES, PackedItem, UnpackError};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
-/// Ended items that are remembered; the oldest go first. A box that is further behind
-/// than that gets everything.
-const MOST_ENDED: usize = 1024;
+/// The most tombstones kept; the oldest are removed first. A box that is behind these gets a full
+/// snapshot.
+const MAX_TOMBSTONES: usize = 1024;
 
-/// Earlier states of a large item that are remembered. Boxes are one change behind as a
-/// rule; three more bear changes in quick succession, at three megabytes of memory at most.
-const MOST_EARLIER: usize = 3;
+/// The most earlier states kept of a large item. Boxes are usually one change behind; three states
+/// cover changes in quick succession and take at most 3 MB of memory.
+const MAX_PREVIOUS_STATES: usize = 3;
 
-/// The items by key.
+/// The mirrored items by key.
 #[derive(Debug, Default)]
 pub struct Mirror {
     items: BTreeMap<String, Item>,
-    /// The items' keys by revision: a hub of 300 boxes is asked 750 times a second for the
-    /// few that are new among some thousand.
+    /// The items' keys by revision. A hub of 300 boxes is polled 750 times a second for the few new
+    /// items among some thousand.
     by_revision: BTreeSet<(u64, String)>,
     revision: u64,
-    /// Boxes that know nothing newer than this have to be given everything.
-    floor: u64,
-    /// Earlier states of large items, the oldest first.
-    earlier: HashMap<String, Vec<Item>>,
-    /// What was packed of the present large items, by key and by the receiver's state.
+    /// The newest revision of a pruned tombstone. Boxes behind it need a full snapshot.
+    pruned_revision: u64,
+    /// Earlier states of large items by key, the oldest first.
+    previous: HashMap<String, Vec<Item>>,
+    /// Packed values of the current large items, by key and by the revision of the receiver's
+    /// state.
     packed: HashMap<(String, Option<u64>), PackedItem>,
 }
 
-/// Items that bring a box from one revision to another, packed.
+/// Packed items that bring a box from one revision to another.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PackedChanges {
-    /// The receiver has to have reached this revision, or else to take `is_snapshot`.
+    /// The receiver must have reached this revision, unless this is a snapshot.
     pub after: u64,
-    /// The revision that is reached with them.
+    /// The revision that these items lead to.
     pub revision: u64,
-    /// Whether these are all items there are, so that others are gone.
+    /// Whether these are all existing items, so that any other item is deleted.
     pub is_snapshot: bool,
     /// The items.
     pub items: Vec<PackedItem>,
 }
 
 impl PackedChanges {
-    /// Returns the bytes that the items take.
+    /// Returns the size of the items in bytes.
     pub fn len(&self) -> usize {
         self.items.iter().map(PackedItem::len).sum()
     }
 
-    /// Tells whether there is no item.
+    /// Returns whether there are no items.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// Leaves the largest items out until the others take no more than so many bytes, and
-    /// returns the highest revision among those left out.
-    pub fn leave_out_beyond(&mut self, most: usize) -> Option<u64> {
+    /// Drops the largest items until the others take at most `max_bytes`, and returns the highest
+    /// revision among the dropped ones.
+    pub fn drop_largest_beyond(&mut self, max_bytes: usize) -> Option<u64> {
         self.items.sort_by_key(PackedItem::len);
         let mut len = self.len();
-        let mut left_out = None;
-        while len > most {
+        let mut dropped = None;
+        while len > max_bytes {
             let largest = self.items.pop()?;
             len -= largest.len();
-            left_out = left_out.max(Some(largest.revision));
+            dropped = dropped.max(Some(largest.revision));
         }
-        left_out
+        dropped
     }
 }
 
 /// Items that bring a box from one revision to another.
 #[derive(Debug, Clone)]
 pub struct Changes {
-    /// The receiver has to have reached this revision, or else to take `is_snapshot`.
+    /// The receiver must have reached this revision, unless this is a snapshot.
     pub after: u64,
-    /// The revision that is reached with them.
+    /// The revision that these items lead to.
     pub revision: u64,
-    /// Whether these are all items there are, so that others are gone.
+    /// Whether these are all existing items, so that any other item is deleted.
     pub is_snapshot: bool,
     /// The items.
     pub items: Vec<Item>,
 }
 
 impl Mirror {
-    /// Takes items in their newest state and returns those that are news.
-    pub fn take(&mut self, items: Vec<Item>, revision: u64) -> Vec<Item> {
-        let mut news = Vec::new();
+    /// Applies items and returns those that are newer than the mirrored ones.
+    pub fn apply(&mut self, items: Vec<Item>, revision: u64) -> Vec<Item> {
+        let mut new_items = Vec::new();
         for item in items {
             let known = self.items.get(&item.key);
             if known.is_none_or(|known| known.revision < item.revision) {
@@ -96,72 +97,73 @@
                 if let Some(replaced) = self.items.insert(item.key.clone(), item.clone()) {
                     self.by_revision
                         .remove(&(replaced.revision, replaced.key.clone()));
-                    self.remember(replaced);
+                    self.keep_previous(replaced);
                 }
-                news.push(item);
+                new_items.push(item);
             }
         }
         self.revision = self.revision.max(revision);
-        self.forget_ended();
-        news
+        self.prune_tombstones();
+        new_items
     }
 
-    /// Takes everything that the store held at a revision; what it did not hold is gone.
-    pub fn take_all(&mut self, items: Vec<Item>, revision: u64) -> Vec<Item> {
+    /// Applies the complete contents of the store at a revision; items that are absent are deleted.
+    pub fn apply_snapshot(&mut self, items: Vec<Item>, revision: u64) -> Vec<Item> {
         let present: HashSet<&str> = items.iter().map(|item| item.key.as_str()).collect();
-        let ended: Vec<Item> = self
+        let deleted: Vec<Item> = self
             .items
             .values()
             .filter(|known| !known.is_deleted() && known.revision <= revision)
             .filter(|known| !present.contains(known.key.as_str()))
             .map(|known| Item::deleted(&known.key, revision))
             .collect();
-        let mut news = self.take(items, revision);
-        news.extend(self.take(ended, revision));
-        news
+        let mut new_items = self.apply(items, revision);
+        new_items.extend(self.apply(deleted, revision));
+        new_items
     }
 
-    fn remember(&mut self, replaced: Item) {
+    fn keep_previous(&mut self, replaced: Item) {
         self.packed.retain(|(key, _), _| *key != replaced.key);
         if !is_large(&replaced) {
             return;
         }
-        let earlier = self.earlier.entry(replaced.key.clone()).or_default();
-        earlier.push(replaced);
-        if earlier.len() > MOST_EARLIER {
-            earlier.remove(0);
+        let previous = self.previous.entry(replaced.key.clone()).or_default();
+        previous.push(replaced);
+        if previous.len() > MAX_PREVIOUS_STATES {
+            previous.remove(0);
         }
     }
 
-    fn forget_ended(&mut self) {
-        let mut ended: Vec<(u64, String)> = self
+    fn prune_tombstones(&mut self) {
+        let mut deleted: Vec<(u64, String)> = self
             .items
             .values()
             .filter(|item| item.is_deleted())
             .map(|item| (item.revision, item.key.clone()))
             .collect();
-        if ended.len() <= MOST_ENDED {
+        if deleted.len() <= MAX_TOMBSTONES {
             return;
         }
-        ended.sort_unstable();
-        let surplus = ended.len() - MOST_ENDED / 2;
-        for (revision, key) in ended.into_iter().take(surplus) {
+        deleted.sort_unstable();
+        let surplus = deleted.len() - MAX_TOMBSTONES / 2;
+        for (revision, key) in deleted.into_iter().take(surplus) {
             self.items.remove(&key);
             self.by_revision.remove(&(revision, key));
-            self.floor = self.floor.max(revision);
+            self.pruned_revision = self.pruned_revision.max(revision);
         }
     }
 
-    /// Returns the revision that is known.
+    /// Returns the revision that this mirror has reached.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Returns what brings a box that has reached `after` up to this one.
+    /// Returns the changes that bring a box from revision `after` to this mirror's revision.
     ///
-    /// A box that could not use a difference asks for items as a whole.
-    pub fn changes_after(&mut self, after: u64, as_a_whole: bool) -> PackedChanges {
-        let is_snapshot = after < self.floor || after == 0;
+    /// With `full_values`, no deltas are sent; a box asks for this after it failed to apply a
+    /// delta.
+    pub fn changes_after(&mut self, after: u64, full_values: bool) -> PackedChanges {
+        let is_snapshot = after < self.pruned_revision || after == 0;
         let newer = (after.saturating_add(1), String::new())..;
         let wanted: Vec<&Item> = match is_snapshot {
             true => self
@@ -181,10 +183,10 @@
                 items.push(PackedItem::pack(item, None));
                 continue;
             }
-            let earlier = self.earlier.get(&item.key).map_or(&[][..], Vec::as_slice);
-            let base = match is_snapshot || as_a_whole {
+            let previous = self.previous.get(&item.key).map_or(&[][..], Vec::as_slice);
+            let base = match is_snapshot || full_values {
                 true => None,
-                false => state_at(earlier, after),
+                false => state_at(previous, after),
             };
             let packed = self
                 .packed
@@ -200,12 +202,12 @@
         }
     }
 
-    /// Unpacks what another box told; fails if one item cannot be used.
-    pub fn unpack(&self, packed: PackedChanges) -> Result<Changes, Unusable> {
+    /// Unpacks changes from another box; fails if one item is unusable.
+    pub fn unpack(&self, packed: PackedChanges) -> Result<Changes, UnpackError> {
         let mut items = Vec::with_capacity(packed.items.len());
         for item in packed.items {
             match self.items.get(&item.key) {
-                // It may be told apart from a state that this box has left behind.
+                // The delta may be based on a state that this box no longer has.
                 Some(known) if known.revision >= item.revision => items.push(known.clone()),
                 known => items.push(item.unpack(known)?),
             }
@@ -221,10 +223,10 @@
 
 fn is_large(item: &Item) -> bool {
     let len = item.value.as_ref().map_or(0, Vec::len);
-    len >= COMPRESSED_FROM
+    len >= COMPRESSION_MIN_BYTES
 }
 
-/// Returns the state that a box has which has reached a revision and nothing later.
-fn state_at(earlier: &[Item], reached: u64) -> Option<&Item> {
-    earlier.iter().rev().find(|item| item.revision <= reached)
+/// Returns the state held by a box that has reached exactly this revision.
+fn state_at(previous: &[Item], reached: u64) -> Option<&Item> {
+    previous.iter().rev().find(|item| item.revision <= reached)
 }
--- a/src/gateway/control/rollout.rs
+++ b/src/gateway/control/rollout.rs
@@ -1,69 +1,73 @@
-//! What a box knows of a roll-out: the order, how far it was taken, and for how long it runs.
+//! The state of one roll-out as a box knows it: the order, the newest record and the time elapsed
+//! since the order.
 
 use super::store::{RolloutOrder, RolloutRecord, RolloutState};
 use crate::clock::Now;
 use std::time::Duration;
 
-/// How often the time since the order is written down, in hundredths of the roll-out's time:
-/// boxes that are all killed together know nothing else of it, and a bad version without a proof
-/// would be on trial for longer. Some twenty calls a roll-out.
+/// The interval at which the time since the order is persisted, in percent of the roll-out's
+/// duration. If all boxes are killed together, the record is the only source of this time, and a
+/// bad version that is not proved bad would stay on trial for longer. Costs about twenty calls per
+/// roll-out.
 pub const ELAPSED_WRITE_STEP_PERCENT: u32 = 5;
-/// How much later than the box that writes a record others may learn of the order.
-const RECORD_WAY: Duration = Duration::from_secs(1);
-/// By how much another box's word has to exceed the record to show that it has counted on.
-const KNOWS_BETTER_BY: Duration = Duration::from_millis(100);
-
-/// An order and how far it was taken.
+/// The longest delay between the box that writes a record learning of the order and other boxes
+/// learning of it.
+const MAX_PROPAGATION_DELAY: Duration = Duration::from_secs(1);
+/// By how much an elapsed time reported by another box has to exceed the recorded one to show that
+/// this box kept counting.
+const MIN_REPORTED_LEAD: Duration = Duration::from_millis(100);
+
+/// A roll-out order and its progress.
 #[derive(Debug, Clone, Default)]
 pub struct Rollout {
-    /// The newest order, and when this box learned of it.
+    /// The newest order, and when this box received it.
     pub order: Option<(RolloutOrder, Duration)>,
     /// The newest record.
-    pub record: Option<SeenRecord>,
-    /// What another box said of the time since the order.
-    told: Option<ToldTime>,
+    pub record: Option<ReceivedRecord>,
+    /// The elapsed time since the order that another box reported.
+    reported: Option<ReportedElapsed>,
 }
 
-/// Another box's word on how long ago an order was given.
+/// The elapsed time since an order, as another box reported it.
 #[derive(Debug, Clone, Copy)]
-struct ToldTime {
-    order: u64,
+struct ReportedElapsed {
+    order_revision: u64,
     elapsed: Duration,
-    heard: Duration,
+    received_at: Duration,
 }
 
-impl ToldTime {
-    /// Returns the time since the order by now.
-    fn by(self, now: Now) -> Duration {
-        self.elapsed + now.monotonic.saturating_sub(self.heard)
+impl ReportedElapsed {
+    /// Returns the time elapsed since the order at `now`.
+    fn elapsed_at(self, now: Now) -> Duration {
+        self.elapsed + now.monotonic.saturating_sub(self.received_at)
     }
 }
 
-/// A roll-out's record, and when this box learned of it.
+/// A roll-out record, and when this box received it.
 #[derive(Debug, Clone)]
-pub struct SeenRecord {
+pub struct ReceivedRecord {
     /// The record.
     pub record: RolloutRecord,
     /// Its revision in the store.
     pub revision: u64,
-    /// When this box learned of it.
-    pub seen: Duration,
-    /// Whether it stood there before this life of the box began to listen, so that nothing tells
-    /// when it was written.
-    pub is_found: bool,
+    /// When this box received it.
+    pub received_at: Duration,
+    /// Whether the record was written before this process started to listen, so that the time of
+    /// writing is unknown.
+    pub is_preexisting: bool,
 }
 
-impl SeenRecord {
-    /// Returns the time since the order by the record and by what has passed since it was seen.
+impl ReceivedRecord {
+    /// Returns the time since the order: the recorded time plus the time since the record arrived.
     fn elapsed(&self, now: Now) -> Duration {
         let then = Duration::from_millis(self.record.elapsed_ms);
-        then + now.monotonic.saturating_sub(self.seen)
+        then + now.monotonic.saturating_sub(self.received_at)
     }
 }
 
 impl Rollout {
-    /// Takes an order, unless a newer one is known; true if it is new.
-    pub fn take_order(&mut self, order: RolloutOrder, now: Now) -> bool {
+    /// Applies an order unless a newer one is known; returns whether it was new.
+    pub fn apply_order(&mut self, order: RolloutOrder, now: Now) -> bool {
         let known = self.order.as_ref();
         let is_newer = known.is_none_or(|(known, _)| order.revision > known.revision);
         if is_newer {
@@ -72,30 +76,30 @@
         is_newer
     }
 
-    /// Takes a record, unless a newer one is known; true if it is new.
-    pub fn take_record(&mut self, record: RolloutRecord, revision: u64, now: Now) -> bool {
+    /// Applies a record unless a newer one is known; returns whether it was new.
+    pub fn apply_record(&mut self, record: RolloutRecord, revision: u64, now: Now) -> bool {
         let known = self.record.as_ref();
         let is_newer = known.is_none_or(|known| revision > known.revision);
         if is_newer {
-            self.record = Some(SeenRecord {
-                is_found: self.is_found(&record, now),
+            self.record = Some(ReceivedRecord {
+                is_preexisting: self.is_preexisting(&record, now),
                 record,
                 revision,
-                seen: now.monotonic,
+                received_at: now.monotonic,
             });
         }
         is_newer
     }
 
-    /// Tells whether the newest order is the one of a revision.
-    pub fn is_of(&self, order: u64) -> bool {
+    /// Returns whether the newest order has this revision.
+    pub fn has_order(&self, order: u64) -> bool {
         let known = self.order.as_ref();
         known.is_some_and(|(known, _)| known.revision == order)
     }
 
-    /// Tells whether a record that comes now stood there before this box learned of its order, by
-    /// the time that the record tells: later ones were written while this box listened.
-    fn is_found(&self, record: &RolloutRecord, now: Now) -> bool {
+    /// Returns whether an incoming record was written before this box learned of its order, judged
+    /// by the record's elapsed time. Later records were written while this box was listening.
+    fn is_preexisting(&self, record: &RolloutRecord, now: Now) -> bool {
         let knows_one = self
             .record
             .as_ref()
@@ -103,69 +107,79 @@
         let own = self.order.as_ref().map_or(Duration::ZERO, |(_, seen)| {
             now.monotonic.saturating_sub(*seen)
         });
-        let told = Duration::from_millis(record.elapsed_ms);
-        !knows_one && told > own + RECORD_WAY
+        let reported = Duration::from_millis(record.elapsed_ms);
+        !knows_one && reported > own + MAX_PROPAGATION_DELAY
     }
 
-    /// Returns the record of an order that is under way.
+    /// Returns the record of an order whose roll-out is running.
     pub fn running_record(&self, order: &RolloutOrder) -> Option<&RolloutRecord> {
         let record = &self.record.as_ref()?.record;
         let is_running = record.state == RolloutState::Running;
         (is_running && record.order_revision == order.revision).then_some(record)
     }
 
-    /// Takes another box's word on the time since an order.
+    /// Applies the elapsed time since an order that another box reported.
     ///
-    /// The record tells the time of the last stage alone, and a box that starts sees it for the
-    /// first time: where all boxes were restarted one after the other, the time went back to
-    /// that stage, and a version without a proof was on trial for ever.
+    /// A record only holds the elapsed time of its last write, and a restarted box receives it for
+    /// the first time. Without reports, restarting all boxes one after the other set the time back
+    /// to the last written stage, and a version that was never proved good or bad stayed on trial
+    /// forever.
     pub fn apply_reported_elapsed(&mut self, order: u64, elapsed: Duration, now: Now) {
-        let known = self.told.filter(|told| told.order == order);
-        if known.is_none_or(|known| known.by(now) < elapsed) {
-            self.told = Some(ToldTime {
-                order,
+        let known = self
+            .reported
+            .filter(|reported| reported.order_revision == order);
+        if known.is_none_or(|known| known.elapsed_at(now) < elapsed) {
+            self.reported = Some(ReportedElapsed {
+                order_revision: order,
                 elapsed,
-                heard: now.monotonic,
+                received_at: now.monotonic,
             });
         }
     }
 
-    /// Returns the time since the order, as far as this box or another one knows.
+    /// Returns the longest time since the order that this box or another one knows of.
     pub fn elapsed(&self, now: Now) -> Option<Duration> {
         let (order, seen) = self.order.as_ref()?;
         let own = now.monotonic.saturating_sub(*seen);
-        let recorded = self.record_of(order).map(|known| known.elapsed(now));
-        let told = self.told_of(order).map(|told| told.by(now));
-        [Some(own), recorded, told].into_iter().flatten().max()
+        let recorded = self.record_for(order).map(|known| known.elapsed(now));
+        let reported = self
+            .reported_for(order)
+            .map(|reported| reported.elapsed_at(now));
+        [Some(own), recorded, reported].into_iter().flatten().max()
     }
 
-    /// Returns what has probably passed beyond [`Self::elapsed`] while no box was there to count.
+    /// Returns the time that has probably passed in addition to [`Self::elapsed`] while no box was
+    /// running to count it.
     ///
-    /// Where all boxes were killed together, the time goes on from the last record, which was
-    /// written up to one interval before. What must be over in time goes by what has probably
-    /// passed; stages go by what has surely passed, since sessions may move in the second half only.
+    /// If all boxes were killed together, counting resumes from the last record, which may be one
+    /// write interval old. Deadlines use the probable time; stages use only the certain time, since
+    /// sessions may move only in the second half of a roll-out.
     pub fn unseen(&self, now: Now) -> Duration {
         let Some((order, _)) = self.order.as_ref() else {
             return Duration::ZERO;
         };
-        let Some(known) = self.record_of(order) else {
+        let Some(known) = self.record_for(order) else {
             return Duration::ZERO;
         };
         let before = Duration::from_millis(known.record.unseen_ms);
-        let told = self.told_of(order).map(|told| told.by(now));
-        let is_known_better = told.is_some_and(|told| told > known.elapsed(now) + KNOWS_BETTER_BY);
-        match known.is_found && !is_known_better {
+        let reported = self
+            .reported_for(order)
+            .map(|reported| reported.elapsed_at(now));
+        let is_reported_later =
+            reported.is_some_and(|reported| reported > known.elapsed(now) + MIN_REPORTED_LEAD);
+        match known.is_preexisting && !is_reported_later {
             true => before + order.duration / 100 * ELAPSED_WRITE_STEP_PERCENT / 2,
             false => before,
         }
     }
 
-    fn record_of(&self, order: &RolloutOrder) -> Option<&SeenRecord> {
+    fn record_for(&self, order: &RolloutOrder) -> Option<&ReceivedRecord> {
         let known = self.record.as_ref()?;
         (known.record.order_revision == order.revision).then_some(known)
     }
 
-    fn told_of(&self, order: &RolloutOrder) -> Option<ToldTime> {
-        self.told.filter(|told| told.order == order.revision)
+    fn reported_for(&self, order: &RolloutOrder) -> Option<ReportedElapsed> {
+        self.reported
+            .filter(|reported| reported.order_revision == order.revision)
     }
 }
--- a/src/gateway/control/rollout_leader.rs
+++ b/src/gateway/control/rollout_leader.rs
@@ -1,11 +1,11 @@
-//! Takes roll-outs through their stages: the box that leads, and the next in line where that one
-//! does not reach the store.
+//! Advances roll-outs through their stages. This is done by the leader, or by the standby box if
+//! the leader cannot reach the store.
 //!
-//! Every step is a conditional write, so that a box which wrongly believes that it leads does no
+//! Every step is a conditional write, so that a box which wrongly believes to be the leader does no
 //! harm. See `docs/design/platform.md`.
 
-use super::membership::place_in_line;
-use super::rollout::{Rollout, SeenRecord};
+use super::membership::leadership_rank;
+use super::rollout::{ReceivedRecord, Rollout};
 use super::store::{ControlStore, RecordWriteResult, RolloutOrder, Update};
 use crate::clock::Now;
 use crate::gateway::Gateway;
@@ -16,57 +16,62 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The time between two looks at the roll-outs.
-const LEAD_INTERVAL: Duration = Duration::from_millis(250);
-/// The boxes that take a roll-out on, in line: those that are told the counts of all.
-const IN_LINE: usize = 2;
-/// The age of what a box knows of the store up to which it may reach it: a watch that is not cut
-/// off proves itself several times a second.
-const FRESH: Duration = Duration::from_secs(1);
+/// The time between two checks of the running roll-outs.
+const ADVANCE_INTERVAL: Duration = Duration::from_millis(250);
+/// The number of boxes that may write roll-out records, by rank: those that receive the version
+/// counts of all boxes.
+const ROLLOUT_WRITERS: usize = 2;
+/// The age of the control-plane state up to which a box is assumed to be in contact with the store.
+/// A working watch refreshes the state several times a second.
+const MAX_STORE_STATE_AGE: Duration = Duration::from_secs(1);
 
-/// Takes roll-outs through their stages while this box leads, or while the one that leads does
-/// not.
+/// Advances roll-outs while this box is the leader, or while the leader fails to do so.
 pub async fn lead_rollouts(gw: Rc<Gateway>, store: Rc<dyn ControlStore>) {
-    // The revision of the last record that this box wrote of each service.
-    let mut written: HashMap<String, u64> = HashMap::new();
+    // By service, the revision of the last record that this box wrote.
+    let mut written_revisions: HashMap<String, u64> = HashMap::new();
     loop {
-        sleep(LEAD_INTERVAL).await;
-        let place = place_in_line(&gw, Now::read());
-        if gw.lease.get().is_none() || place.is_none_or(|place| place >= IN_LINE) {
+        sleep(ADVANCE_INTERVAL).await;
+        let rank = leadership_rank(&gw, Now::read());
+        if gw.lease.get().is_none() || rank.is_none_or(|rank| rank >= ROLLOUT_WRITERS) {
             continue;
         }
         for service in services_under_rollout(&gw) {
             let now = Now::read();
-            let Some(standing) = Standing::of(&gw, &service, now) else {
+            let Some(status) = RolloutStatus::of(&gw, &service, now) else {
                 continue;
             };
-            let own = written.get(&service).copied();
-            if place != Some(0) && !is_left(&gw, &standing, own, now) {
+            let own_revision = written_revisions.get(&service).copied();
+            if rank != Some(0) && !should_take_over(&gw, &status, own_revision, now) {
                 continue;
             }
-            if let Some(revision) = advance(&gw, &*store, &service, standing, now).await {
-                written.insert(service, revision);
+            if let Some(revision) = advance(&gw, &*store, &service, status, now).await {
+                written_revisions.insert(service, revision);
             }
         }
     }
 }
 
-/// Tells whether the box that leads leaves a roll-out as it is, though this one hears from the
-/// store: its record is overdue, or this box took it on when it was and has written the last one,
-/// at the revision `own`.
-fn is_left(gw: &Gateway, standing: &Standing, own: Option<u64>, now: Now) -> bool {
+/// Returns whether a standby box in contact with the store should advance a roll-out because the
+/// leader does not: its record is overdue, or this box took it over earlier and wrote the latest
+/// record, at revision `own_revision`.
+fn should_take_over(
+    gw: &Gateway,
+    status: &RolloutStatus,
+    own_revision: Option<u64>,
+    now: Now,
+) -> bool {
     let age = gw.knowledge.borrow().age(now);
-    let hears_from_store = age.is_some_and(|age| age <= FRESH);
-    let known = standing.known.as_ref();
-    let is_own = known.is_some_and(|known| Some(known.revision) == own);
+    let has_store_contact = age.is_some_and(|age| age <= MAX_STORE_STATE_AGE);
+    let known = status.known.as_ref();
+    let is_own = known.is_some_and(|known| Some(known.revision) == own_revision);
     let record = known.map(|known| &known.record);
-    hears_from_store && (is_own || is_overdue(&standing.order, record, standing.elapsed))
+    has_store_contact && (is_own || is_overdue(&status.order, record, status.elapsed))
 }
 
 fn services_under_rollout(gw: &Gateway) -> Vec<String> {
-    let knowledge = gw.knowledge.borrow();
+    let state = gw.knowledge.borrow();
     let has_order = |(_, rollout): &(&String, &Rollout)| rollout.order.is_some();
-    knowledge
+    state
         .rollouts()
         .iter()
         .filter(has_order)
@@ -74,17 +79,16 @@
         .collect()
 }
 
-/// Writes the next record of a roll-out if it has to change, and returns the revision at which it
-/// was written.
+/// Writes the next record of a roll-out if it has to change, and returns the revision of the write.
 async fn advance(
     gw: &Gateway,
     store: &dyn ControlStore,
     service: &str,
-    standing: Standing,
+    status: RolloutStatus,
     now: Now,
 ) -> Option<u64> {
-    let progress = progress_of(gw, &standing, now);
-    let Standing { order, known, .. } = standing;
+    let progress = progress_of(gw, &status, now);
+    let RolloutStatus { order, known, .. } = status;
     let (record, expected) = match &known {
         Some(known) => (Some(&known.record), known.revision),
         None => (None, 0),
@@ -118,7 +122,7 @@
             log::info!(service, expected; "another box took the roll-out on");
             None
         }
-        // The watch will tell whether the write took effect.
+        // The outcome of the write is unknown; the watch delivers the record if it took effect.
         Err(err) => {
             gw.store_failed(&err, Now::read());
             None
@@ -126,36 +130,36 @@
     }
 }
 
-fn progress_of(gw: &Gateway, standing: &Standing, now: Now) -> Progress {
-    let order = &standing.order;
-    let knowledge = gw.knowledge.borrow();
-    let rollout = knowledge.rollout(&order.service);
+fn progress_of(gw: &Gateway, status: &RolloutStatus, now: Now) -> Progress {
+    let order = &status.order;
+    let state = gw.knowledge.borrow();
+    let rollout = state.rollout(&order.service);
     let verdict = rollout.and_then(|rollout| gw.judge_version(rollout, true, now));
     let verdict = verdict.unwrap_or_default();
     Progress {
-        elapsed: standing.elapsed,
-        unseen: standing.unseen,
+        elapsed: status.elapsed,
+        unseen: status.unseen,
         condemned: gw.is_condemned(order.revision),
         verdict,
         bound: gw.settings().bounds.exposure,
     }
 }
 
-/// Where a service's roll-out stands.
-struct Standing {
+/// The current status of a service's roll-out.
+struct RolloutStatus {
     order: RolloutOrder,
-    /// The newest record, which may be of an earlier order.
-    known: Option<SeenRecord>,
-    /// The time that has surely passed since the order.
+    /// The newest record, which may belong to an earlier order.
+    known: Option<ReceivedRecord>,
+    /// The time that has certainly passed since the order.
     elapsed: Duration,
-    /// What has probably passed beyond it.
+    /// The time that has probably passed in addition, while no box was running.
     unseen: Duration,
 }
 
-impl Standing {
+impl RolloutStatus {
     fn of(gw: &Gateway, service: &str, now: Now) -> Option<Self> {
-        let knowledge = gw.knowledge.borrow();
-        let rollout = knowledge.rollout(service)?;
+        let state = gw.knowledge.borrow();
+        let rollout = state.rollout(service)?;
         let (order, _) = rollout.order.as_ref()?;
         Some(Self {
             order: order.clone(),
@@ -166,12 +170,12 @@
     }
 }
 
-/// Tells whether this box may take roll-outs on.
+/// Returns whether this box may write roll-out records.
 pub fn may_advance_rollouts(gw: &Gateway, now: Now) -> bool {
-    place_in_line(gw, now).is_some_and(|place| place < IN_LINE)
+    leadership_rank(gw, now).is_some_and(|rank| rank < ROLLOUT_WRITERS)
 }
 
-/// Returns the name under which a roll-out's target is watched.
+/// Returns the name under which the target version of a roll-out is observed.
 pub fn target_version_name(order: &RolloutOrder) -> VersionName {
     VersionName {
         model: order.service.clone(),
--- a/src/gateway/control/state.rs
+++ b/src/gateway/control/state.rs
@@ -1,7 +1,7 @@
-//! What a box knows of the operators' wishes, the upstreams and the other boxes.
+//! The control-plane state of a box: configuration, upstreams, roll-outs and registered boxes.
 //!
-//! One rule holds for every source: only a higher version or revision replaces what is
-//! known, so nothing ever goes back within a life. See `docs/design/platform.md`.
+//! One rule holds for every source: only a higher version or revision replaces existing state, so
+//! the state never goes back while the process runs. See `docs/design/platform.md`.
 
 use super::lag::Lag;
 use super::rollout::Rollout;
@@ -16,118 +16,120 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long an upstream whose entry lapsed with the store's outage is still used. The
-/// users say that entries of live upstreams are back within about two seconds.
+/// How long an upstream is still used after its entry expired during a store outage. According to
+/// the users, entries of live upstreams are back within about two seconds.
 const LAPSE_GRACE: Duration = Duration::from_millis(2100);
 
-/// The age of knowledge from which the store may have been down. Hubs and checks keep it
-/// under two seconds as long as any way to the store is left, and entries lapse after
-/// three heartbeats of 1.2 s at the earliest.
-const OUTAGE_AGE: Duration = Duration::from_millis(2200);
+/// The age of the state from which the store may have been down. Hubs and staleness checks keep the
+/// age below two seconds as long as there is any way to the store, and entries expire after three
+/// heartbeats of 1.2 s at the earliest.
+const SUSPECTED_OUTAGE_AGE: Duration = Duration::from_millis(2200);
 
-/// What a box knows.
+/// The control-plane state of a box.
 #[derive(Debug, Default)]
 pub struct ControlPlaneState {
     routes: Option<Arc<RouteTable>>,
     upstreams: HashMap<String, Rc<Upstream>>,
-    /// What is wrong with the entries of upstreams that cannot be read, by id.
+    /// Why entries of upstreams could not be decoded, by id.
     faulty: HashMap<String, String>,
     rollouts: HashMap<String, Rollout>,
     boxes: BTreeMap<String, BoxEntry>,
-    confirmed: Option<Duration>,
+    confirmed_at: Option<Duration>,
     lag: Lag,
-    store_unsettled_until: Option<Duration>,
-    /// The lives of upstreams that have said in an answer that they leave, and when.
+    store_recovering_until: Option<Duration>,
+    /// Upstream incarnations that have announced in an answer that they leave, and when.
     leaving: HashMap<UpstreamLife, Duration>,
-    /// The halls to whose upstreams the operators want nothing more sent.
+    /// The halls that operators have evacuated.
     evacuated: BTreeSet<String>,
 }
 
-/// How long it is remembered that an upstream leaves which is not listed any more: a late entry of
-/// its life may still come.
-const LEAVING_REMEMBERED: Duration = Duration::from_secs(600);
+/// How long an announcement is kept after the upstream is no longer listed, since a late entry of
+/// the same incarnation may still arrive.
+const LEAVING_RETENTION: Duration = Duration::from_secs(600);
 
-/// What a box may say by the configuration that it has.
+/// How fresh the configuration is, which determines the answers that a box may give.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConfigFreshness {
-    /// Nothing newer exists that callers may count on.
+    /// No newer configuration exists that callers may rely on.
     Current,
-    /// No key was taken away so long ago that it must not serve any more; what was added
-    /// may be missing.
+    /// No key was revoked so long ago that it must no longer be accepted; recent additions may be
+    /// missing.
     KeysValid,
-    /// Nothing proves any more that it still holds, nor that it does not.
+    /// There is no recent confirmation that the configuration is current, and no evidence that it
+    /// is not.
     Unconfirmed,
-    /// Something newer has existed for so long that it has to be in force.
+    /// A newer configuration has existed for so long that it must be in force by now.
     Outdated,
 }
 
 /// What an update changed, for the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing: it was known or older.
+    /// Nothing: the update was already known or outdated.
     Nothing,
-    /// The routes are now of this version.
+    /// The routes have this version now.
     Routes(u64),
-    /// An upstream is new.
+    /// An upstream was added.
     UpstreamAdded(String),
-    /// An upstream is leaving or came back.
+    /// An upstream has started to leave or has come back.
     UpstreamChanged(String),
-    /// An upstream has started again under its id.
+    /// An upstream has restarted under the same id.
     UpstreamReborn(UpstreamLife),
-    /// An upstream is gone.
+    /// An upstream was removed.
     UpstreamRemoved(String),
-    /// An upstream's entry is missing while the store is unsettled.
+    /// An upstream's entry is missing while the store recovers from an outage.
     UpstreamLapsed(String),
-    /// The operators have evacuated this hall.
+    /// Operators have evacuated this hall.
     HallEvacuated(String),
-    /// The operators have given this hall back.
+    /// Operators have returned this hall to use.
     HallReturned(String),
-    /// A roll-out of this service was ordered, taken on or cancelled.
+    /// A roll-out of this service was ordered, advanced or cancelled.
     Rollout(String),
     /// A box has registered.
     BoxAdded(String),
-    /// A box's entry is gone.
+    /// A box is no longer registered.
     BoxGone(String),
-    /// An upstream's entry could not be read, so the upstream is not used.
+    /// An upstream's entry could not be decoded, so the upstream is not used.
     UpstreamFaulty {
         /// The upstream's id.
         instance: String,
-        /// What is wrong with the entry.
+        /// Why the entry is invalid.
         reason: String,
     },
-    /// An item could not be read.
+    /// An item could not be decoded.
     Faulty {
         /// The item's key in the store.
         item: String,
-        /// What is wrong with it.
+        /// Why it is invalid.
         reason: String,
     },
 }
 
 impl Change {
-    /// Tells whether something was added, as nearly all is when a box starts.
+    /// Returns whether something was added, as is the case for nearly all changes when a box
+    /// starts.
     pub fn is_addition(&self) -> bool {
         matches!(self, Self::UpstreamAdded(_) | Self::BoxAdded(_))
     }
 }
 
 impl ControlPlaneState {
-    /// Takes one update.
+    /// Applies one update.
     pub fn apply(&mut self, update: Update, now: Now) -> Change {
         match update {
-            Update::Routes(routes) => self.take_routes(routes),
-            Update::Upstream(listed) => self.take_upstream(*listed, now),
-            Update::UpstreamGone(instance) => self.drop_upstream(&instance, now),
-            Update::UpstreamFaulty { instance, reason } => self.take_faulty(instance, reason),
-            Update::RolloutOrdered(order) => self.take_order(order, now),
+            Update::Routes(routes) => self.apply_routes(routes),
+            Update::Upstream(listed) => self.apply_upstream(*listed, now),
+            Update::UpstreamGone(instance) => self.handle_missing_upstream(&instance, now),
+            Update::UpstreamFaulty { instance, reason } => self.apply_faulty(instance, reason),
+            Update::RolloutOrdered(order) => self.apply_order(order, now),
             Update::RolloutCancelled(service) => {
                 self.rollouts.entry(service.clone()).or_default().order = None;
                 Change::Rollout(service)
             }
-            Update::RolloutRecorded(record, revision) => self.take_record(record, revision, now),
-            Update::HallEvacuated(hall) => self.evacuate(hall),
-            Update::HallReturned(hall) => self.give_back(hall, now),
-            Update::Box(entry) => self.take_box(entry),
+            Update::RolloutRecorded(record, revision) => self.apply_record(record, revision, now),
+            Update::HallEvacuated(hall) => self.evacuate_hall(hall),
+            Update::HallReturned(hall) => self.restore_hall(hall, now),
+            Update::Box(entry) => self.apply_box(entry),
             Update::BoxGone(name) => match self.boxes.remove(&name) {
                 Some(_) => Change::BoxGone(name),
                 None => Change::Nothing,
@@ -136,7 +138,7 @@
         }
     }
 
-    fn take_routes(&mut self, routes: Arc<RouteTable>) -> Change {
+    fn apply_routes(&mut self, routes: Arc<RouteTable>) -> Change {
         let known = self.routes.as_ref().map_or(0, |known| known.version);
         if self.routes.is_some() && routes.version <= known {
             return Change::Nothing;
@@ -146,12 +148,13 @@
         Change::Routes(version)
     }
 
-    /// Takes an upstream's entry with what follows from its hall and from its start.
-    fn take_upstream(&mut self, listed: ListedUpstream, now: Now) -> Change {
+    /// Applies an upstream's entry, including the consequences of its hall's evacuation and of its
+    /// warm-up.
+    fn apply_upstream(&mut self, listed: ListedUpstream, now: Now) -> Change {
         let instance = listed.instance.clone();
         let is_evacuated = self.evacuated.contains(&listed.hall);
         let warm_up_left = listed.warm_up_left;
-        let change = self.take_entry(listed);
+        let change = self.apply_entry(listed);
         if let Some(upstream) = self.upstreams.get(&instance)
             && change != Change::Nothing
         {
@@ -161,25 +164,25 @@
         change
     }
 
-    /// Takes an upstream's entry, which is newer than the one known.
+    /// Applies an upstream's entry, which is newer than the known one.
     ///
-    /// What was remembered of the upstream stays only if the entry is of the same life. Which
-    /// of two entries is newer is the store's revision to tell and not the time of birth: an
-    /// upstream's clock may be wrong, and an entry with a birth far in the future, by another
-    /// writer, would else keep the upstream's own entries out for good.
-    fn take_entry(&mut self, listed: ListedUpstream) -> Change {
+    /// What was recorded about the upstream is kept only if the entry belongs to the same
+    /// incarnation. The store revision decides which of two entries is newer, not the start time:
+    /// an upstream's clock may be wrong, and an entry by another writer with a start time far in
+    /// the future would otherwise block the upstream's own entries for good.
+    fn apply_entry(&mut self, listed: ListedUpstream) -> Change {
         let instance = listed.instance.clone();
         let known = self.upstreams.get(&instance);
         if listed.born.is_none() && known.is_some_and(|known| known.life().born.is_some()) {
-            let reason = "it does not say any more when the upstream started".to_owned();
-            return self.take_faulty(instance, reason);
+            let reason = "the entry no longer states when the upstream started".to_owned();
+            return self.apply_faulty(instance, reason);
         }
         self.faulty.remove(&instance);
         match known {
             Some(known) if *known.life() != listed.life() => {
-                let reborn = Upstream::new(listed);
-                let life = reborn.life().clone();
-                self.upstreams.insert(instance, reborn);
+                let restarted = Upstream::new(listed);
+                let life = restarted.life().clone();
+                self.upstreams.insert(instance, restarted);
                 Change::UpstreamReborn(life)
             }
             Some(known) if known.lapsed_at().is_none() && known.listed() == listed => {
@@ -197,7 +200,7 @@
         }
     }
 
-    fn take_faulty(&mut self, instance: String, reason: String) -> Change {
+    fn apply_faulty(&mut self, instance: String, reason: String) -> Change {
         self.upstreams.remove(&instance);
         let known = self.faulty.insert(instance.clone(), reason.clone());
         match known {
@@ -206,12 +209,12 @@
         }
     }
 
-    fn drop_upstream(&mut self, instance: &str, now: Now) -> Change {
+    fn handle_missing_upstream(&mut self, instance: &str, now: Now) -> Change {
         self.faulty.remove(instance);
         let Some(known) = self.upstreams.get(instance) else {
             return Change::Nothing;
         };
-        if self.store_is_unsettled(now) && !self.is_about_to_leave(known) {
+        if self.is_store_recovering(now) && !self.is_leaving(known) {
             let is_new = known.lapsed_at().is_none();
             known.lapse(now);
             return match is_new {
@@ -223,7 +226,7 @@
         Change::UpstreamRemoved(instance.to_owned())
     }
 
-    fn evacuate(&mut self, hall: String) -> Change {
+    fn evacuate_hall(&mut self, hall: String) -> Change {
         if !self.evacuated.insert(hall.clone()) {
             return Change::Nothing;
         }
@@ -233,9 +236,9 @@
         Change::HallEvacuated(hall)
     }
 
-    /// Takes a hall's upstreams into use again. Nobody has asked them for a while, so they may
-    /// have turned cold since they last said anything.
-    fn give_back(&mut self, hall: String, now: Now) -> Change {
+    /// Returns a hall's upstreams to use. They got no requests for a while, so they may have become
+    /// cold since they last stated their warm-up time.
+    fn restore_hall(&mut self, hall: String, now: Now) -> Change {
         if !self.evacuated.remove(&hall) {
             return Change::Nothing;
         }
@@ -255,71 +258,70 @@
         self.upstreams.values().filter(is_there)
     }
 
-    /// Returns what the upstreams of a service bear while they warm up; none if they bear all.
+    /// Returns the load limit of a service's upstreams while they warm up; `None` if there is no
+    /// limit.
     pub fn warm_up(&self, service: &str) -> Option<WarmUp> {
         self.routes.as_ref()?.services.get(service)?.warm_up
     }
 
-    fn take_order(&mut self, order: RolloutOrder, now: Now) -> Change {
+    fn apply_order(&mut self, order: RolloutOrder, now: Now) -> Change {
         let service = order.service.clone();
         let rollout = self.rollouts.entry(service.clone()).or_default();
-        match rollout.take_order(order, now) {
+        match rollout.apply_order(order, now) {
             true => Change::Rollout(service),
             false => Change::Nothing,
         }
     }
 
-    fn take_record(&mut self, record: RolloutRecord, revision: u64, now: Now) -> Change {
+    fn apply_record(&mut self, record: RolloutRecord, revision: u64, now: Now) -> Change {
         let service = record.service.clone();
         let rollout = self.rollouts.entry(service.clone()).or_default();
-        match rollout.take_record(record, revision, now) {
+        match rollout.apply_record(record, revision, now) {
             true => Change::Rollout(service),
             false => Change::Nothing,
         }
     }
 
-    fn take_box(&mut self, entry: BoxEntry) -> Change {
+    fn apply_box(&mut self, entry: BoxEntry) -> Change {
         match self.boxes.insert(entry.name.clone(), entry.clone()) {
             Some(known) if known == entry => Change::Nothing,
             _ => Change::BoxAdded(entry.name),
         }
     }
 
-    /// Records that everything acknowledged before `sent` is known: a linearizable call
-    /// sent then was answered, and its revision has been reached.
+    /// Records a confirmation that everything acknowledged before `sent` is known: a linearizable
+    /// read sent at that time has been answered, and its revision has been reached.
     pub fn confirm(&mut self, sent: Duration) {
-        self.confirmed = Some(self.confirmed.map_or(sent, |known| known.max(sent)));
+        self.confirmed_at = Some(self.confirmed_at.map_or(sent, |known| known.max(sent)));
     }
 
-    /// Tells whether there are routes, and whether there ever was a proof that nothing newer
-    /// exists.
+    /// Returns whether there are routes and whether the state was ever confirmed to be current.
     pub fn has_confirmed_routes(&self) -> bool {
-        self.routes.is_some() && self.confirmed.is_some()
+        self.routes.is_some() && self.confirmed_at.is_some()
     }
 
-    /// Returns how old the last proof is that nothing newer exists; none if there never
-    /// was one.
+    /// Returns the time since the state was last confirmed to be current; `None` if it never was.
     pub fn age(&self, now: Now) -> Option<Duration> {
-        self.confirmed.map(|at| now.monotonic.saturating_sub(at))
+        self.confirmed_at.map(|at| now.monotonic.saturating_sub(at))
     }
 
-    /// Records that the store, or another box, has reached a revision that this one lacks.
-    pub fn hear_of_newer(&mut self, revision: u64, now: Now) {
-        self.lag.hear_of_newer(revision, now);
+    /// Records that the store or another box has a revision that this box lacks.
+    pub fn record_newer_revision(&mut self, revision: u64, now: Now) {
+        self.lag.record_newer_revision(revision, now);
     }
 
-    /// Records that a revision has been reached.
-    pub fn reach(&mut self, revision: u64) {
-        self.lag.reach(revision);
+    /// Records that this box has reached a revision.
+    pub fn record_reached_revision(&mut self, revision: u64) {
+        self.lag.record_reached_revision(revision);
     }
 
-    /// Returns how long this box has known that something newer exists, while it still hears
-    /// so; none if it has the newest that it heard of.
+    /// Returns how long this box has been behind, as long as it still gets reports of newer
+    /// revisions; `None` if it has reached the reported revision.
     pub fn lag(&self, now: Now) -> Option<Duration> {
-        self.lag.lasts(now)
+        self.lag.duration(now)
     }
 
-    /// Returns what this box may say by what it has.
+    /// Returns how fresh the configuration is.
     pub fn freshness(&self, bounds: &Bounds, now: Now) -> ConfigFreshness {
         let lag = self.lag(now);
         if lag.is_some_and(|lag| lag > bounds.longest_lag()) {
@@ -335,29 +337,29 @@
         }
     }
 
-    /// Records that something of the store is about to be taken in.
+    /// Records that data from the store is about to be applied.
     ///
-    /// When nothing was heard of the store for a while, by no way, it may have been down,
-    /// and entries that vanish now may belong to live upstreams. A box or a hub that alone
-    /// was turned away does not count: others have kept this one's knowledge fresh.
-    pub fn hear_of_store(&mut self, now: Now) {
-        if self.age(now).is_some_and(|age| age > OUTAGE_AGE) {
+    /// If the state was not confirmed by any path for a while, the store may have been down, and
+    /// entries that are missing now may belong to live upstreams. An outage of the store seen by
+    /// only one box or hub does not count, because the other boxes keep this box's state fresh.
+    pub fn record_store_contact(&mut self, now: Now) {
+        if self.age(now).is_some_and(|age| age > SUSPECTED_OUTAGE_AGE) {
             let until = now.monotonic + LAPSE_GRACE;
-            let known = self.store_unsettled_until.unwrap_or_default();
+            let known = self.store_recovering_until.unwrap_or_default();
             if known < now.monotonic {
-                self.store_unsettled_until = Some(until);
+                self.store_recovering_until = Some(until);
             }
         }
     }
 
-    fn store_is_unsettled(&self, now: Now) -> bool {
-        self.store_unsettled_until
+    fn is_store_recovering(&self, now: Now) -> bool {
+        self.store_recovering_until
             .is_some_and(|until| now.monotonic < until)
     }
 
-    /// Removes upstreams whose entries stayed away after the store had settled.
-    pub fn drop_lapsed(&mut self, now: Now) -> Vec<Change> {
-        if self.store_is_unsettled(now) {
+    /// Removes upstreams whose entries are still missing after the store has recovered.
+    pub fn remove_lapsed_upstreams(&mut self, now: Now) -> Vec<Change> {
+        if self.is_store_recovering(now) {
             return Vec::new();
         }
         let gone: Vec<String> = self
@@ -377,15 +379,15 @@
         self.routes.as_ref()
     }
 
-    /// Returns the upstreams of a service that take new work.
+    /// Returns the upstreams of a service that take new requests.
     ///
-    /// Those whose entries lapsed take it only until the store has settled.
+    /// Upstreams whose entries expired are included only until the store has recovered.
     pub fn available_upstreams(&self, service: &str, now: Now) -> Vec<Rc<Upstream>> {
-        let is_settled = !self.store_is_unsettled(now);
+        let is_settled = !self.is_store_recovering(now);
         let is_open = |upstream: &&Rc<Upstream>| {
             let is_gone = is_settled && upstream.lapsed_at().is_some();
             let serves = upstream.with_listed(|listed| listed.service == service);
-            serves && !is_gone && !upstream.is_evacuated() && !self.is_about_to_leave(upstream)
+            serves && !is_gone && !upstream.is_evacuated() && !self.is_leaving(upstream)
         };
         self.upstreams.values().filter(is_open).cloned().collect()
     }
@@ -395,36 +397,37 @@
         self.upstreams.values()
     }
 
-    /// Tells whether this life of an upstream is listed and is not about to leave.
+    /// Returns whether this upstream incarnation is listed and not leaving.
     pub fn is_serving(&self, life: &UpstreamLife) -> bool {
         let known = self.upstreams.get(&life.instance);
-        known.is_some_and(|known| known.life() == life && !self.is_about_to_leave(known))
+        known.is_some_and(|known| known.life() == life && !self.is_leaving(known))
     }
 
-    /// Tells whether an upstream says that it leaves, by its entry or by an answer.
-    fn is_about_to_leave(&self, upstream: &Upstream) -> bool {
+    /// Returns whether an upstream is leaving, according to its entry or to an announcement in an
+    /// answer.
+    fn is_leaving(&self, upstream: &Upstream) -> bool {
         let is_draining = upstream.with_listed(|listed| listed.draining);
         is_draining || self.leaving.contains_key(upstream.life())
     }
 
-    /// Records that this life of an upstream has said in an answer that it leaves; no entry takes
-    /// that back. Tells whether it is new.
-    pub fn note_leaving(&mut self, life: &UpstreamLife, now: Now) -> bool {
+    /// Records that this upstream incarnation has announced in an answer that it leaves; no later
+    /// entry revokes that. Returns whether the announcement is new.
+    pub fn record_leaving(&mut self, life: &UpstreamLife, now: Now) -> bool {
         self.leaving.insert(life.clone(), now.monotonic).is_none()
     }
 
-    /// Forgets upstreams that have left long ago.
-    pub fn forget_leaving(&mut self, now: Now) {
+    /// Removes the announcements of upstreams that left long ago.
+    pub fn prune_leaving(&mut self, now: Now) {
         let upstreams = &self.upstreams;
-        self.leaving.retain(|life, noted| {
+        self.leaving.retain(|life, recorded| {
             let known = upstreams.get(&life.instance);
             let is_listed = known.is_some_and(|known| known.life() == life);
-            is_listed || now.monotonic.saturating_sub(*noted) < LEAVING_REMEMBERED
+            is_listed || now.monotonic.saturating_sub(*recorded) < LEAVING_RETENTION
         });
     }
 
-    /// Removes an upstream whose address answered for another instance, unless it has started
-    /// again meanwhile.
+    /// Removes an upstream whose address answered for another instance, unless it has restarted in
+    /// the meantime.
     pub fn remove_upstream(&mut self, life: &UpstreamLife) {
         let known = self.upstreams.get(&life.instance);
         if known.is_some_and(|known| known.life() == life) {
@@ -432,8 +435,8 @@
         }
     }
 
-    /// Returns the number of upstreams whose entries cannot be read.
-    pub fn faulty_count(&self) -> usize {
+    /// Returns the number of upstreams whose entries cannot be decoded.
+    pub fn faulty_upstream_count(&self) -> usize {
         self.faulty.len()
     }
 
@@ -464,23 +467,23 @@
         boxes
     }
 
-    /// Tells whether a roll-out is under way.
-    pub fn has_rollout(&self) -> bool {
-        self.rollouts_under_way().next().is_some()
+    /// Returns whether any roll-out is running.
+    pub fn has_running_rollout(&self) -> bool {
+        self.running_rollouts().next().is_some()
     }
 
-    /// Returns the roll-outs under way, each with its order.
-    pub fn rollouts_under_way(&self) -> impl Iterator<Item = (&RolloutOrder, &Rollout)> {
+    /// Returns the running roll-outs, each with its order.
+    pub fn running_rollouts(&self) -> impl Iterator<Item = (&RolloutOrder, &Rollout)> {
         self.rollouts.values().filter_map(|rollout| {
             let (order, _) = rollout.order.as_ref()?;
             rollout.running_record(order).map(|_| (order, rollout))
         })
     }
 
-    /// Takes another box's word on the time since an order.
+    /// Applies the elapsed time since an order that another box reported.
     pub fn apply_reported_elapsed(&mut self, order: u64, elapsed: Duration, now: Now) {
         let mut rollouts = self.rollouts.values_mut();
-        if let Some(rollout) = rollouts.find(|rollout| rollout.is_of(order)) {
+        if let Some(rollout) = rollouts.find(|rollout| rollout.has_order(order)) {
             rollout.apply_reported_elapsed(order, elapsed, now);
         }
     }
--- a/src/gateway/control/store.rs
+++ b/src/gateway/control/store.rs
@@ -1,7 +1,7 @@
-//! What the gateway needs of the platform's metadata store, in the gateway's words.
+//! The interface to the platform's metadata store, in terms of the gateway.
 //!
-//! An adapter implements [`ControlStore`]; everything that is agreed between boxes or
-//! has to last goes through it. See `docs/design/platform.md`.
+//! An adapter implements [`ControlStore`]. Everything that boxes agree on or that has to be durable
+//! goes through it. See `docs/design/platform.md`.
 
 use crate::gateway::admit::routes::RouteTable;
 use crate::gateway::versions::seen::Seen;
@@ -13,21 +13,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// One item of the store, or the news that it is gone.
+/// One item of the store, or the tombstone of a deleted one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
     /// The item's key.
     pub key: String,
-    /// The item's bytes; none if it is gone.
+    /// The item's value in bytes; `None` if the item is deleted.
     pub value: Option<Vec<u8>>,
-    /// The store's revision of the last change.
+    /// The store revision of the last change.
     pub revision: u64,
-    /// The store's revision at which the item was made.
+    /// The store revision at which the item was created.
     pub created: u64,
 }
 
 impl Item {
-    /// Makes the news that an item is gone since a revision.
+    /// Creates the tombstone of an item that was deleted at a revision.
     pub fn deleted(key: &str, revision: u64) -> Self {
         Self {
             key: key.to_owned(),
@@ -37,78 +37,78 @@
         }
     }
 
-    /// Tells whether the item is gone.
+    /// Returns whether the item is deleted.
     pub fn is_deleted(&self) -> bool {
         self.value.is_none()
     }
 }
 
-/// A change of one item of the store, decoded.
+/// A decoded change of one item of the store.
 #[derive(Debug, Clone)]
 pub enum Update {
     /// The operators' newest configuration.
     Routes(Arc<RouteTable>),
-    /// An upstream that is listed, in its newest state.
+    /// The newest state of a listed upstream.
     Upstream(Box<ListedUpstream>),
-    /// The upstream of this instance is not listed any more.
+    /// The upstream with this id is no longer listed.
     UpstreamGone(String),
-    /// The entry of an upstream that cannot be read; another writer spoilt it, so what it
-    /// said before does not count any more either.
+    /// An upstream's entry that cannot be decoded. Another writer corrupted it, so its earlier
+    /// contents are no longer valid either.
     UpstreamFaulty {
         /// The upstream's id.
         instance: String,
-        /// What is wrong with the entry.
+        /// Why the entry is invalid.
         reason: String,
     },
-    /// The operators' newest roll-out order of a service.
+    /// The operators' newest roll-out order for a service.
     RolloutOrdered(RolloutOrder),
-    /// The order of this service was taken back.
+    /// The roll-out order of this service was withdrawn.
     RolloutCancelled(String),
-    /// How far the leading box has taken a roll-out.
+    /// The leader's record of a roll-out, and its revision.
     RolloutRecorded(RolloutRecord, u64),
-    /// The operators want nothing more sent to the upstreams of this hall.
+    /// Operators have evacuated this hall: its upstreams get no more requests.
     HallEvacuated(String),
     /// The upstreams of this hall may be used again.
     HallReturned(String),
-    /// A box of the fleet, in its newest state.
+    /// The newest registration entry of a box.
     Box(BoxEntry),
-    /// The box of this name is not registered any more.
+    /// The box with this name is no longer registered.
     BoxGone(String),
-    /// An item that cannot be read; the last good state stays in force.
+    /// An item that cannot be decoded; its last valid state stays in force.
     Faulty {
         /// The item's key in the store.
         item: String,
-        /// What is wrong with it.
+        /// Why it is invalid.
         reason: String,
     },
 }
 
-/// An upstream, as it lists itself.
+/// An upstream as listed in the store by itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListedUpstream {
-    /// The upstream's id, which it may keep when it starts again.
+    /// The upstream's id, which it may keep across restarts.
     pub instance: String,
-    /// When it started, in milliseconds since the Unix epoch; none where it does not say, and
-    /// then each start has an id of its own.
+    /// When it started, in milliseconds since the Unix epoch; `None` if it does not say, in which
+    /// case each start has an id of its own.
     pub born: Option<u64>,
     /// The service that it runs.
     pub service: String,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
-    /// The hall in which it stands.
+    /// The hall in which it runs.
     pub hall: String,
     /// The version of its software.
     pub version: String,
-    /// The requests that it runs at a time.
+    /// The number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it is about to leave and takes no new work.
+    /// Whether it is shutting down and takes no new requests.
     pub draining: bool,
-    /// How much longer it warms up, by its own word when it wrote this; zero once it is warm.
+    /// The remaining warm-up time that it stated when it wrote the entry; zero once it is warm.
     pub warm_up_left: Duration,
 }
 
 impl ListedUpstream {
-    /// Returns the life that this entry tells of.
+    /// Returns the incarnation that this entry describes.
     pub fn life(&self) -> UpstreamLife {
         UpstreamLife {
             instance: self.instance.clone(),
@@ -117,10 +117,10 @@
     }
 }
 
-/// One life of an upstream, from a start to its end.
+/// One incarnation of an upstream: one process, from its start to its end.
 ///
-/// An upstream that starts again under its id holds nothing of what it held before, so
-/// whatever is remembered of an upstream is remembered of a life and not of an id.
+/// An upstream that restarts under the same id has lost all its state, so everything that a box
+/// records about an upstream is recorded by incarnation and not by id.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct UpstreamLife {
     /// The upstream's id.
@@ -143,81 +143,82 @@
 pub struct RolloutOrder {
     /// The service.
     pub service: String,
-    /// The version that is to serve.
+    /// The target version.
     pub target: String,
-    /// The time in which it is to be done, counted from the order.
+    /// The time in which the roll-out has to finish, counted from the order.
     pub duration: Duration,
-    /// The store's revision of the order; each order has one of its own.
+    /// The store revision of the order, which identifies it.
     pub revision: u64,
 }
 
-/// How far a roll-out has come.
+/// The state of a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutState {
-    /// A part of the sessions is served by the target.
+    /// The target serves a part of the sessions.
     Running,
-    /// The target serves all.
+    /// The target serves all sessions.
     Done,
-    /// The target was found bad and serves nobody.
+    /// The target was found bad and serves no sessions.
     Reverted,
 }
 
-/// The leading box's record of a roll-out, kept in the store so that it outlasts boxes.
+/// The leader's record of a roll-out, kept in the store so that it survives restarts of boxes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RolloutRecord {
     /// The service.
     pub service: String,
-    /// The version that is brought in.
+    /// The target version.
     pub target: String,
-    /// The store's revision of the order that this record answers.
+    /// The store revision of the order to which this record belongs.
     pub order_revision: u64,
-    /// How far it has come.
+    /// The state of the roll-out.
     pub state: RolloutState,
-    /// The part of the sessions that the target serves, in thousandths.
+    /// The share of sessions that the target serves, in permille.
     pub permille: u32,
-    /// The milliseconds since the order, as the leading box counted them.
+    /// The milliseconds since the order, as counted by the leader.
     pub elapsed_ms: u64,
-    /// The same when the present stage began.
+    /// The value of `elapsed_ms` at the start of the current stage.
     #[serde(default)]
     pub stage_ms: u64,
-    /// The milliseconds that have probably passed beyond these while no box was there to count.
+    /// The milliseconds that have probably passed in addition while no box was running to count
+    /// them.
     #[serde(default)]
     pub unseen_ms: u64,
-    /// What the answers of both versions have said so far.
+    /// The evidence from the answers of both versions so far.
     #[serde(default)]
     pub seen: Box<Seen>,
     /// Versions that earlier roll-outs of the service found bad.
     pub rejected: Vec<String>,
 }
 
-/// All sessions, in thousandths.
+/// All sessions, in permille.
 pub const ALL_SESSIONS_PERMILLE: u32 = 1000;
 
 impl RolloutRecord {
-    /// Tells whether the target was proved good: nothing less gives it all sessions.
+    /// Returns whether the target was proved good; only then does it get all sessions.
     pub fn is_proved(&self) -> bool {
         self.permille >= ALL_SESSIONS_PERMILLE
     }
 }
 
-/// A box of the fleet.
+/// The registration entry of a box.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxEntry {
-    /// The box's name together with its start, so that each life has its own.
+    /// The box's name with its start time, so that each process has a name of its own.
     pub name: String,
-    /// Its hall.
+    /// The box's hall.
     pub hall: String,
-    /// Where other boxes reach it.
+    /// The address at which other boxes reach it.
     pub address: SocketAddr,
-    /// The rate of its link in megabits a second; 0 where the platform does not say.
+    /// The bandwidth of its link in megabits per second; 0 if the platform does not provide it.
     #[serde(default)]
     pub link_mbps: u32,
-    /// The store's revision at which the box registered; the lowest one leads.
+    /// The store revision at which the box registered; the box with the lowest one leads.
     #[serde(skip)]
     pub registered: u64,
 }
 
-/// A box's entry, and the lease under which it stands.
+/// A box's registration entry and the lease that keeps it alive.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RegisteredBox {
     /// The entry.
@@ -226,73 +227,73 @@
     pub lease: u64,
 }
 
-/// A part of what the store holds, in the order of the keys.
+/// One page of the store's items, ordered by key.
 #[derive(Debug, Clone)]
 pub struct Page {
     /// The items.
     pub items: Vec<Item>,
-    /// The store's revision when it was read.
+    /// The store revision at which the page was read.
     pub revision: u64,
-    /// Where the next page begins; none if this is the last one.
+    /// The start of the next page; `None` on the last page.
     pub next: Option<String>,
 }
 
-/// What a watch brought.
+/// The result of a watch.
 #[derive(Debug, Clone)]
 pub enum WatchResult {
-    /// Changes in their order, and the revision to go on from.
+    /// The changes in order, and the revision from which to continue.
     Changes(Vec<Item>, u64),
-    /// The history after the revision is gone; everything has to be read anew.
+    /// The store has compacted its history after the given revision; a full read is needed.
     HistoryCompacted,
 }
 
 /// The result of writing a roll-out's record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordWriteResult {
-    /// The record stands at this revision.
+    /// The record was written at this revision.
     Written(u64),
-    /// Another box wrote first.
+    /// Another box wrote the record first.
     Conflict,
 }
 
 /// The platform's metadata store, as far as the gateway uses it.
 pub trait ControlStore: fmt::Debug {
-    /// Reads an item's bytes; none where the gateway has no use for the item.
+    /// Decodes an item; `None` if the gateway does not use it.
     fn decode(&self, item: &Item) -> Option<Update>;
 
-    /// Tells whether an answer is on its way of which a part has come.
+    /// Returns whether a response has been received in part and is still in transfer.
     fn is_receiving_response(&self) -> bool;
 
-    /// Reads a page, linearizably: the first one, or the one that begins where another ended.
+    /// Reads a page with a linearizable read: the first one, or the one that starts at `begin`.
     fn read_page<'a>(&'a self, begin: Option<&'a str>) -> LocalBoxFuture<'a, StoreResult<Page>>;
 
-    /// Reads the boxes that are registered in a hall, in lives that may be over.
+    /// Reads the boxes registered in a hall; some of the processes may have ended.
     fn read_hall<'a>(
         &'a self,
         hall: &'a str,
     ) -> LocalBoxFuture<'a, StoreResult<Vec<RegisteredBox>>>;
 
-    /// Returns the store's newest revision, linearizably and cheaply.
+    /// Returns the store's newest revision with a cheap linearizable read.
     fn read_revision(&self) -> LocalBoxFuture<'_, StoreResult<u64>>;
 
     /// Waits up to `wait` for changes after a revision.
     fn watch(&self, after: u64, wait: Duration) -> LocalBoxFuture<'_, StoreResult<WatchResult>>;
 
-    /// Registers a box under a lease of `ttl` and returns the lease.
+    /// Registers a box under a lease with a time to live of `ttl` and returns the lease.
     fn register<'a>(
         &'a self,
         entry: &'a BoxEntry,
         ttl: Duration,
     ) -> LocalBoxFuture<'a, StoreResult<u64>>;
 
-    /// Renews a lease; false means that it is over and its entry gone.
+    /// Renews a lease; returns false if it has expired and its entry is gone.
     fn renew(&self, lease: u64) -> LocalBoxFuture<'_, StoreResult<bool>>;
 
-    /// Ends a lease, so that its entry disappears at once.
+    /// Releases a lease, so that its entry is removed at once.
     fn release(&self, lease: u64) -> LocalBoxFuture<'_, StoreResult<()>>;
 
-    /// Writes a roll-out's record if the last one stands at `expected` (0: there is none),
-    /// and with it what the operators read.
+    /// Writes a roll-out's record, together with the status that operators read, if the last record
+    /// is at revision `expected` (0: there is none).
     fn write_rollout<'a>(
         &'a self,
         record: &'a RolloutRecord,
--- a/src/gateway/control/store_sync.rs
+++ b/src/gateway/control/store_sync.rs
@@ -1,12 +1,12 @@
-//! Keeps a box's knowledge fresh.
+//! Keeps a box's control-plane state in sync with the store.
 //!
-//! Two boxes, the hubs, call the store: a watch brings changes as they happen, and a
-//! cheap linearizable call bounds the age of what is known, since a watch may be silent
-//! while changes are made. The other boxes ask a hub ([`crate::gateway::peers::hubs`]) and
-//! call the store only when what they know grows old. See `docs/design/platform.md`.
+//! Two boxes, the hubs, call the store. A watch delivers changes as they happen, and a cheap
+//! linearizable read of the revision bounds the staleness of the state, since a watch may stay
+//! silent although changes are made. The other boxes poll a hub ([`crate::gateway::peers::hubs`])
+//! and call the store only when their state becomes too old. See `docs/design/platform.md`.
 
-use super::initial_sync::{Hall, learn_everything, read_hall};
-use super::membership::stay_registered;
+use super::initial_sync::{HallBoxes, read_hall, run_initial_sync};
+use super::membership::maintain_registration;
 use super::mirror::Changes;
 use super::state::Change;
 use super::store::{ControlStore, Item, WatchResult};
@@ -16,65 +16,73 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How long one watch waits. Watches are answered at once on a change, so this only
-/// bounds how long a dead one is held.
-const WATCH_WAIT: Duration = Duration::from_secs(10);
-/// The pause between two watches, in which changes gather: each watch is a priced call.
-const WATCH_PAUSE: Duration = Duration::from_millis(120);
-/// The pause after a failed call; refused calls are priced too.
-const FAILURE_PAUSE: Duration = Duration::from_millis(250);
-/// The longest pause of a hub after failed calls in a row, each twice as long as the one
-/// before.
-const LONGEST_HUB_PAUSE: Duration = Duration::from_millis(1000);
-/// The same for every other box. It asks the hubs and some boxes beside them several times
-/// a second and hears from them that the store is back; while it was away, the calls of 83
-/// boxes of their own were most of what calls cost (docs/design/platform.md).
-const LONGEST_PAUSE: Duration = Duration::from_millis(3000);
-/// The age of knowledge at which a hub checks the store's revision. Operators' changes
-/// have to be in force within two seconds of their acknowledgement, also while a watch is
-/// silent. What the other boxes know is older by a question's interval and by the way, and
-/// has to stay under [`crate::gateway::settings::Bounds::own_check_age`] though one datagram is lost: at 0.9 s it did not, and 67
-/// boxes made 240 calls of their own in 27 s that they make no more.
-const HUB_AGE: Duration = Duration::from_millis(650);
-/// How often the age is looked at.
-const LOOK_INTERVAL: Duration = Duration::from_millis(100);
-/// Items that are logged one by one when they come together. A box that starts learns of
-/// all upstreams and boxes, 750 where 295 boxes start together; a line each would push other
-/// lines out of the log's queue.
-const MOST_LINES: usize = 100;
-/// How often tidying is due.
-const TIDY_INTERVAL: Duration = Duration::from_millis(500);
-/// How long a reading of changes may wait for some, which a check has shown to exist.
-const CHANGES_WAIT: Duration = Duration::from_millis(50);
-/// How long the watch may take to bring what a check has shown to exist.
-const WATCH_LAG: Duration = Duration::from_millis(150);
+/// How long one watch call waits. The store answers a watch at once when something changes, so this
+/// only bounds how long a dead connection is held.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
+/// The pause between two watch calls, which lets changes accumulate, since each call has a price.
+const WATCH_GAP: Duration = Duration::from_millis(120);
+/// The pause after the first failed call. Rejected calls have a price too.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
+/// The longest pause of a hub between failed calls; the pause doubles with each failure.
+const MAX_HUB_BACKOFF: Duration = Duration::from_millis(1000);
+/// The longest pause of any other box between failed calls. Such a box polls the hubs and some
+/// other boxes several times a second and learns from them when the store is back; during an
+/// outage, the retries of 83 such boxes were most of the cost of store calls
+/// (docs/design/platform.md).
+const MAX_BACKOFF: Duration = Duration::from_millis(3000);
+/// The age of the state at which a hub checks the store's revision. Operators' changes have to be
+/// in force within two seconds of their acknowledgement, even while a watch is silent. The state of
+/// the other boxes is older by a poll interval and the network delay, and has to stay below
+/// [`crate::gateway::settings::Bounds::own_check_age`] even if one datagram is lost. At 0.9 s it
+/// did not, and 67 boxes made 240 avoidable store calls in 27 s.
+const HUB_CHECK_AGE: Duration = Duration::from_millis(650);
+/// How often the age of the state is checked.
+const AGE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// The most changes applied together that are logged one by one. A starting box learns of all
+/// upstreams and boxes, 750 where 295 boxes start together; a line for each would displace other
+/// lines from the log queue.
+const MAX_LOGGED_CHANGES: usize = 100;
+/// How often expired state is removed.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(500);
+/// How long a read of missed changes may wait, given that a revision check has shown that there are
+/// some.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(50);
+/// How long the watch may take to deliver changes whose existence a revision check has shown.
+const WATCH_GRACE: Duration = Duration::from_millis(150);
 
-/// How many pages may fail while a check reads everything, before the next check.
-const FAILURES_OF_A_CHECK: u32 = 3;
-/// The longest wait for the box's registration before everything is read. Registering
-/// takes two calls of 4 ms; a box that reads after it knows the hubs from the start.
-const REGISTRATION_WAIT: Duration = Duration::from_millis(100);
-/// How often it is looked for the registration.
-const REGISTRATION_LOOK: Duration = Duration::from_millis(4);
+/// How many page reads may fail during a full read by the staleness check before it gives up until
+/// the next check.
+const MAX_PAGE_FAILURES_PER_CHECK: u32 = 3;
+/// The longest time to wait for the box's own registration before the initial sync. Registering
+/// takes two calls of 4 ms, and a box that reads afterwards knows the hubs from the start.
+const REGISTRATION_TIMEOUT: Duration = Duration::from_millis(100);
+/// How often the wait looks for the registration.
+const REGISTRATION_POLL_INTERVAL: Duration = Duration::from_millis(4);
 
-/// Follows the store for as long as the process lives.
+/// Runs the initial sync and then keeps the state in sync for as long as the process lives.
 pub async fn sync_with_store(gw: Rc<Gateway>, store: Rc<dyn ControlStore>) {
     let hall = register_and_read_hall(&gw, &store).await;
-    learn_everything(&gw, &*store, hall).await;
-    tokio::join!(watch(&gw, &*store), check(&gw, &*store));
+    run_initial_sync(&gw, &*store, hall).await;
+    tokio::join!(watch(&gw, &*store), check_staleness(&gw, &*store));
 }
 
-/// Registers the box, and returns which boxes there are in its hall.
+/// Registers the box and returns the boxes registered in its hall.
 ///
-/// A box that comes back finds what its former life left there. Where all have been away for
-/// longer than their leases, or never were there, it takes a look once it is registered.
-async fn register_and_read_hall(gw: &Rc<Gateway>, store: &Rc<dyn ControlStore>) -> Option<Hall> {
+/// A restarted box reads the hall first to find the registration of its previous process. If no box
+/// is registered, because all leases have expired or the fleet starts for the first time, it reads
+/// the hall again after registering.
+async fn register_and_read_hall(
+    gw: &Rc<Gateway>,
+    store: &Rc<dyn ControlStore>,
+) -> Option<HallBoxes> {
     let mut hall = None;
     if !gw.settings().is_first_start {
         hall = read_hall(gw, &**store).await;
     }
-    let former = hall.as_ref().and_then(|hall| hall.former_entry(gw));
-    actix_rt::spawn(stay_registered(gw.clone(), store.clone(), former));
+    let previous = hall
+        .as_ref()
+        .and_then(|hall| hall.previous_registration(gw));
+    actix_rt::spawn(maintain_registration(gw.clone(), store.clone(), previous));
     await_registration(gw).await;
     match hall {
         Some(hall) if !hall.is_empty() => Some(hall),
@@ -85,87 +93,92 @@
 async fn await_registration(gw: &Gateway) {
     let registered = async {
         while gw.lease.get().is_none() {
-            sleep(REGISTRATION_LOOK).await;
+            sleep(REGISTRATION_POLL_INTERVAL).await;
         }
     };
-    if tokio::time::timeout(REGISTRATION_WAIT, registered)
+    if tokio::time::timeout(REGISTRATION_TIMEOUT, registered)
         .await
         .is_err()
     {
-        log::info!("everything is read before this box is registered");
+        log::info!("this box is not registered yet, starting the initial sync anyway");
     }
 }
 
-/// Tidies up for as long as the process lives.
+/// Periodically removes expired state for as long as the process lives.
 pub async fn expire_old_state(gw: Rc<Gateway>) {
     loop {
-        sleep(TIDY_INTERVAL).await;
+        sleep(EXPIRY_INTERVAL).await;
         let now = Now::read();
-        let mut knowledge = gw.knowledge.borrow_mut();
-        for change in knowledge.drop_lapsed(now) {
+        let mut state = gw.knowledge.borrow_mut();
+        for change in state.remove_lapsed_upstreams(now) {
             gw.telemetry
                 .learned(&change, "lapse", gw.mirror.borrow().revision());
         }
-        gw.telemetry.aged(knowledge.age(now), knowledge.lag(now));
-        knowledge.forget_leaving(now);
-        gw.telemetry.faulty_upstreams(knowledge.faulty_count());
-        drop(knowledge);
+        gw.telemetry.aged(state.age(now), state.lag(now));
+        state.prune_leaving(now);
+        gw.telemetry.faulty_upstreams(state.faulty_upstream_count());
+        drop(state);
         gw.connections.close_stale(now);
         gw.sessions.borrow_mut().forget(now);
     }
 }
 
-/// Takes items into what the box knows.
+/// Applies items to the mirror and to the control-plane state.
 pub fn apply_changes(gw: &Gateway, store: &dyn ControlStore, changes: Changes, source: &str) {
     let now = Now::read();
     let revision = changes.revision;
     let mut mirror = gw.mirror.borrow_mut();
-    let news = match changes.is_snapshot {
-        true => mirror.take_all(changes.items, revision),
-        false => mirror.take(changes.items, revision),
+    let new_items = match changes.is_snapshot {
+        true => mirror.apply_snapshot(changes.items, revision),
+        false => mirror.apply(changes.items, revision),
     };
     drop(mirror);
     let reached = gw.mirror.borrow().revision();
-    let mut knowledge = gw.knowledge.borrow_mut();
-    knowledge.hear_of_store(now);
-    let lag = knowledge.lag(now);
-    let summarized = news.len() > MOST_LINES;
+    let mut state = gw.knowledge.borrow_mut();
+    state.record_store_contact(now);
+    let lag = state.lag(now);
+    let summarized = new_items.len() > MAX_LOGGED_CHANGES;
     if summarized {
-        log::info!(source, revision, items = news.len(); "learned much at once");
+        log::info!(source, revision, items = new_items.len(); "applied many changes at once");
     }
-    for item in &news {
+    for item in &new_items {
         if let Some(update) = store.decode(item) {
-            let change = knowledge.apply(update, now);
+            let change = state.apply(update, now);
             if !(summarized && change.is_addition()) {
                 gw.telemetry.learned(&change, source, revision);
             }
             if let Change::Routes(version) = change {
                 let bytes = item.value.as_ref().map_or(0, Vec::len);
                 gw.telemetry
-                    .in_force(version, source, bytes, lag, knowledge.age(now));
+                    .in_force(version, source, bytes, lag, state.age(now));
             }
         }
     }
-    knowledge.reach(reached);
-    if !news.is_empty() {
+    state.record_reached_revision(reached);
+    if !new_items.is_empty() {
         gw.news.notify_waiters();
     }
 }
 
-/// Takes some of the items that lead to a revision, which is not reached with them alone.
+/// Applies some of the items that lead to a revision, without marking the revision as reached.
 ///
-/// A box that waits for a large item goes by the small ones meanwhile: an upstream that
-/// leaves must get no new work after two or three seconds.
-pub fn take_part(gw: &Gateway, store: &dyn ControlStore, changes: Changes, source: &str) {
-    let part = Changes {
+/// A box that still waits for a large item uses the small ones meanwhile: an upstream that leaves
+/// must get no new requests after two to three seconds.
+pub fn apply_partial_changes(
+    gw: &Gateway,
+    store: &dyn ControlStore,
+    changes: Changes,
+    source: &str,
+) {
+    let partial = Changes {
         revision: 0,
         is_snapshot: false,
         ..changes
     };
-    apply_changes(gw, store, part, source);
+    apply_changes(gw, store, partial, source);
 }
 
-fn take_items(
+fn apply_items(
     gw: &Gateway,
     store: &dyn ControlStore,
     items: Vec<Item>,
@@ -181,59 +194,60 @@
     apply_changes(gw, store, changes, source);
 }
 
-/// Reads everything, again and again until it succeeds.
-pub async fn read_everything(gw: &Gateway, store: &dyn ControlStore) {
-    read_pages(gw, store, u32::MAX).await;
+/// Reads the complete store contents, retrying until it succeeds.
+pub async fn read_snapshot(gw: &Gateway, store: &dyn ControlStore) {
+    try_read_snapshot(gw, store, u32::MAX).await;
 }
 
-/// Reads everything page by page; false after too many failures.
+/// Reads the complete store contents page by page; returns false after `max_failures` failures.
 ///
-/// A page that fails is asked for again, and not everything from the start: where each third
-/// call is turned away, six pages never came through in one go (platform/tests/first_reads.rs).
-async fn read_pages(gw: &Gateway, store: &dyn ControlStore, most_failures: u32) -> bool {
-    let mut listing = Listing::begin(Now::read());
+/// A failed page is retried on its own instead of restarting from the first page: where every third
+/// call was rejected, a read of six pages never completed in one go
+/// (platform/tests/first_reads.rs).
+async fn try_read_snapshot(gw: &Gateway, store: &dyn ControlStore, max_failures: u32) -> bool {
+    let mut snapshot = SnapshotRead::start(Now::read());
     let mut backoff = Backoff::new();
     let mut failures = 0;
-    while !listing.is_whole {
-        if listing.read_page(gw, store).await {
+    while !snapshot.is_complete {
+        if snapshot.read_page(gw, store).await {
             continue;
         }
         failures += 1;
-        if failures >= most_failures {
+        if failures >= max_failures {
             return false;
         }
-        backoff.pause(LONGEST_HUB_PAUSE).await;
+        backoff.pause(MAX_HUB_BACKOFF).await;
     }
-    listing.take(gw, store);
+    snapshot.apply(gw, store);
     true
 }
 
-/// Everything that the store holds, as far as it has been read.
-struct Listing {
-    began: Duration,
+/// A paged read of the complete store contents in progress.
+struct SnapshotRead {
+    started_at: Duration,
     items: Vec<Item>,
-    /// The revision of the first page. Later pages are newer; watching on from the first one
-    /// misses nothing.
+    /// The revision of the first page. Later pages are newer; a watch that continues from the first
+    /// page's revision misses nothing.
     revision: Option<u64>,
-    next: Option<String>,
-    is_whole: bool,
+    next_page: Option<String>,
+    is_complete: bool,
 }
 
-impl Listing {
-    fn begin(now: Now) -> Self {
+impl SnapshotRead {
+    fn start(now: Now) -> Self {
         Self {
-            began: now.monotonic,
+            started_at: now.monotonic,
             items: Vec::new(),
             revision: None,
-            next: None,
-            is_whole: false,
+            next_page: None,
+            is_complete: false,
         }
     }
 
-    /// Reads the next page; false if the store did not answer.
+    /// Reads the next page; returns false if the store did not answer.
     async fn read_page(&mut self, gw: &Gateway, store: &dyn ControlStore) -> bool {
         gw.telemetry.store_called("list");
-        let page = match store.read_page(self.next.as_deref()).await {
+        let page = match store.read_page(self.next_page.as_deref()).await {
             Ok(page) => page,
             Err(err) => {
                 gw.store_failed(&err, Now::read());
@@ -243,12 +257,12 @@
         gw.store_answered(Now::read());
         self.revision.get_or_insert(page.revision);
         self.items.extend(page.items);
-        self.is_whole = page.next.is_none();
-        self.next = page.next;
+        self.is_complete = page.next.is_none();
+        self.next_page = page.next;
         true
     }
 
-    fn take(self, gw: &Gateway, store: &dyn ControlStore) {
+    fn apply(self, gw: &Gateway, store: &dyn ControlStore) {
         let changes = Changes {
             after: 0,
             revision: self.revision.unwrap_or_default(),
@@ -256,21 +270,21 @@
             items: self.items,
         };
         apply_changes(gw, store, changes, "list");
-        gw.confirm(self.began);
+        gw.confirm(self.started_at);
     }
 }
 
-/// The pause after the next failure.
+/// The pause after the next failure; doubles with each one.
 struct Backoff(Duration);
 
 impl Backoff {
     fn new() -> Self {
-        Self(FAILURE_PAUSE)
+        Self(INITIAL_BACKOFF)
     }
 
-    async fn pause(&mut self, longest: Duration) {
+    async fn pause(&mut self, max: Duration) {
         sleep(self.0).await;
-        self.0 = (self.0 * 2).min(longest);
+        self.0 = (self.0 * 2).min(max);
     }
 }
 
@@ -278,53 +292,55 @@
 async fn watch(gw: &Gateway, store: &dyn ControlStore) {
     let mut backoff = Backoff::new();
     loop {
-        sleep(WATCH_PAUSE).await;
+        sleep(WATCH_GAP).await;
         if !gw.is_hub() {
             continue;
         }
         let after = gw.mirror.borrow().revision();
         gw.telemetry.store_called("watch");
-        match store.watch(after, WATCH_WAIT).await {
+        match store.watch(after, WATCH_TIMEOUT).await {
             Ok(WatchResult::Changes(items, revision)) => {
                 gw.store_answered(Now::read());
                 backoff = Backoff::new();
-                take_items(gw, store, items, revision, "watch");
+                apply_items(gw, store, items, revision, "watch");
             }
             Ok(WatchResult::HistoryCompacted) => {
-                log::warn!(after; "the store's history is gone, everything is read anew");
-                read_everything(gw, store).await;
+                log::warn!(after; "the store's history is compacted, reading a full snapshot");
+                read_snapshot(gw, store).await;
             }
             Err(err) => {
                 gw.store_failed(&err, Now::read());
-                backoff.pause(LONGEST_HUB_PAUSE).await;
+                backoff.pause(MAX_HUB_BACKOFF).await;
             }
         }
     }
 }
 
-/// Bounds the age of what is known.
-async fn check(gw: &Gateway, store: &dyn ControlStore) {
+/// Bounds the staleness of the state by checking the store's revision when the state becomes too
+/// old.
+async fn check_staleness(gw: &Gateway, store: &dyn ControlStore) {
     let mut backoff = Backoff::new();
     loop {
-        sleep(LOOK_INTERVAL).await;
+        sleep(AGE_CHECK_INTERVAL).await;
         let age = gw.knowledge.borrow().age(Now::read());
-        let oldest = match gw.is_hub() {
-            true => HUB_AGE,
+        let max_age = match gw.is_hub() {
+            true => HUB_CHECK_AGE,
             false => gw.settings().bounds.own_check_age(),
         };
-        if age.is_some_and(|age| age < oldest) || is_receiving_response(gw, store) {
+        if age.is_some_and(|age| age < max_age) || is_transfer_in_progress(gw, store) {
             continue;
         }
-        match check_once(gw, store).await {
+        match check_revision(gw, store).await {
             true => backoff = Backoff::new(),
-            false if gw.is_hub() => backoff.pause(LONGEST_HUB_PAUSE).await,
-            false => backoff.pause(LONGEST_PAUSE).await,
+            false if gw.is_hub() => backoff.pause(MAX_HUB_BACKOFF).await,
+            false => backoff.pause(MAX_BACKOFF).await,
         }
     }
 }
 
-/// Compares the store's revision with what is known; false if the store did not answer.
-async fn check_once(gw: &Gateway, store: &dyn ControlStore) -> bool {
+/// Compares the store's revision with the local one and catches up if needed; returns false if the
+/// store did not answer.
+async fn check_revision(gw: &Gateway, store: &dyn ControlStore) -> bool {
     let sent = Now::read();
     gw.telemetry.store_called("check");
     let revision = match store.read_revision().await {
@@ -337,27 +353,29 @@
     let now = Now::read();
     gw.store_answered(now);
     if is_behind(gw, revision) {
-        gw.knowledge.borrow_mut().hear_of_newer(revision, now);
-        sleep(WATCH_LAG).await;
+        gw.knowledge
+            .borrow_mut()
+            .record_newer_revision(revision, now);
+        sleep(WATCH_GRACE).await;
     }
-    if is_behind(gw, revision) && is_receiving_response(gw, store) {
-        log::info!(revision; "this box is behind, what it lacks is on its way");
+    if is_behind(gw, revision) && is_transfer_in_progress(gw, store) {
+        log::info!(revision; "this box is behind, a transfer of the missing data is in progress");
         return true;
     }
-    if is_behind(gw, revision) && !read_changes(gw, store).await {
+    if is_behind(gw, revision) && !catch_up(gw, store).await {
         return false;
     }
     if is_behind(gw, revision) {
-        log::info!(revision; "changes did not bring this box up to date, everything is read anew");
-        return read_pages(gw, store, FAILURES_OF_A_CHECK).await;
+        log::info!(revision; "this box is still behind after reading the changes, reading a full snapshot");
+        return try_read_snapshot(gw, store, MAX_PAGE_FAILURES_PER_CHECK).await;
     }
     gw.confirm(sent.monotonic);
     true
 }
 
-/// Tells whether something is on its way to this box, perhaps what it lacks: a second copy
-/// beside it would only make both late.
-fn is_receiving_response(gw: &Gateway, store: &dyn ControlStore) -> bool {
+/// Returns whether a transfer to this box is in progress that may contain what it lacks. A second
+/// copy at the same time would delay both.
+fn is_transfer_in_progress(gw: &Gateway, store: &dyn ControlStore) -> bool {
     gw.asking.is_fetching() || store.is_receiving_response()
 }
 
@@ -365,17 +383,17 @@
     gw.mirror.borrow().revision() < revision
 }
 
-/// Reads from the store what came since, which is a small part of everything; false if the
-/// store did not answer. It may have forgotten, or keep silent of changes.
-async fn read_changes(gw: &Gateway, store: &dyn ControlStore) -> bool {
+/// Reads the missed changes from the store, which is much less than the complete contents; returns
+/// false if the store did not answer. The store may have compacted its history, or omit changes.
+async fn catch_up(gw: &Gateway, store: &dyn ControlStore) -> bool {
     let after = gw.mirror.borrow().revision();
-    log::info!(after; "this box has fallen behind, the changes are read");
+    log::info!(after; "this box is behind, reading the missed changes");
     gw.telemetry.store_called("changes");
-    match store.watch(after, CHANGES_WAIT).await {
+    match store.watch(after, CATCH_UP_TIMEOUT).await {
         Ok(WatchResult::Changes(items, revision)) => {
-            take_items(gw, store, items, revision, "changes")
+            apply_items(gw, store, items, revision, "changes")
         }
-        Ok(WatchResult::HistoryCompacted) => log::warn!(after; "the store's history is gone"),
+        Ok(WatchResult::HistoryCompacted) => log::warn!(after; "the store's history is compacted"),
         Err(err) => {
             gw.store_failed(&err, Now::read());
             return false;
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -1,4 +1,4 @@
-//! What boxes tell each other.
+//! Exchange of state between boxes.
 
 pub mod datagram;
 pub mod fetch;
--- a/src/gateway/peers/datagram.rs
+++ b/src/gateway/peers/datagram.rs
@@ -1,56 +1,57 @@
-//! Messages between boxes as datagrams, the larger ones compressed.
+//! Encoding of messages between boxes as datagrams; larger messages are compressed.
 //!
-//! Entries of boxes and counts of versions repeat their words: forty entries shrink from
-//! 2,231 bytes to 296 (`tests/gateway/datagrams.rs`). Bytes between halls are priced.
+//! Entries of boxes and version counts are repetitive: forty entries shrink from 2,231 bytes to 296
+//! (`tests/gateway/datagrams.rs`). Traffic between halls has a price.
 
-use super::packing::{grow, shrink};
+use super::packing::{compress_message, decompress_message};
 use crate::error::{Error, Result};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Messages from this size on are compressed; smaller ones hold little that repeats.
-const COMPRESSED_FROM: usize = 256;
-/// The largest message, so that a few bytes which claim to be more set no memory aside.
-const MOST_BYTES: usize = 256 * 1024;
+/// Messages of at least this size are compressed; smaller ones contain little repetition.
+const COMPRESSION_MIN_BYTES: usize = 256;
+/// The largest decoded message, so that a small datagram cannot cause a large allocation by
+/// claiming a larger size.
+const MAX_MESSAGE_BYTES: usize = 256 * 1024;
 
-/// The first byte of a datagram: how the rest is written.
+/// The first byte of a datagram: the encoding of the rest.
 const PLAIN: u8 = 0;
 const COMPRESSED: u8 = 1;
 
-/// Writes a message as a datagram.
-pub fn write(message: &impl Serialize) -> Result<Vec<u8>> {
+/// Encodes a message as a datagram.
+pub fn encode(message: &impl Serialize) -> Result<Vec<u8>> {
     let config = bincode::config::standard();
     let plain = bincode::serde::encode_to_vec(message, config)
-        .map_err(|err| Error::Usage(format!("a message cannot be written: {err}")))?;
-    let (form, body) = match plain.len() {
-        ..COMPRESSED_FROM => (PLAIN, plain),
-        _ => match shrink(&plain) {
+        .map_err(|err| Error::Usage(format!("cannot encode the message: {err}")))?;
+    let (encoding, body) = match plain.len() {
+        ..COMPRESSION_MIN_BYTES => (PLAIN, plain),
+        _ => match compress_message(&plain) {
             Ok(compressed) if compressed.len() < plain.len() => (COMPRESSED, compressed),
-            // What does not shrink goes as it is.
+            // Send it uncompressed if compression does not shrink it.
             Ok(_) | Err(_) => (PLAIN, plain),
         },
     };
     let mut datagram = Vec::with_capacity(1 + body.len());
-    datagram.push(form);
+    datagram.push(encoding);
     datagram.extend_from_slice(&body);
     Ok(datagram)
 }
 
-/// Reads a datagram that [`write`] made.
-pub fn read<T: DeserializeOwned>(datagram: &[u8]) -> Result<T> {
-    let faulty = |reason: String| Error::Usage(format!("a faulty datagram: {reason}"));
-    let config = bincode::config::standard().with_limit::<MOST_BYTES>();
-    let decode = |plain: &[u8]| match bincode::serde::decode_from_slice(plain, config) {
+/// Decodes a datagram that [`encode`] made.
+pub fn decode<T: DeserializeOwned>(datagram: &[u8]) -> Result<T> {
+    let invalid = |reason: String| Error::Usage(format!("invalid datagram: {reason}"));
+    let config = bincode::config::standard().with_limit::<MAX_MESSAGE_BYTES>();
+    let decode_plain = |plain: &[u8]| match bincode::serde::decode_from_slice(plain, config) {
         Ok((message, _)) => Ok(message),
-        Err(err) => Err(faulty(err.to_string())),
+        Err(err) => Err(invalid(err.to_string())),
     };
     match datagram.split_first() {
-        Some((&PLAIN, plain)) => decode(plain),
+        Some((&PLAIN, plain)) => decode_plain(plain),
         Some((&COMPRESSED, body)) => {
-            let plain = grow(body, MOST_BYTES);
-            decode(&plain.map_err(|err| faulty(err.to_string()))?)
+            let plain = decompress_message(body, MAX_MESSAGE_BYTES);
+            decode_plain(&plain.map_err(|err| invalid(err.to_string()))?)
         }
-        Some((form, _)) => Err(faulty(format!("its form is {form}"))),
-        None => Err(faulty("it is empty".to_owned())),
+        Some((encoding, _)) => Err(invalid(format!("unknown encoding {encoding}"))),
+        None => Err(invalid("the datagram is empty".to_owned())),
     }
 }
--- a/src/gateway/peers/fetch_planner.rs
+++ b/src/gateway/peers/fetch_planner.rs
@@ -1,10 +1,11 @@
-//! Which box gives a large change to which, so that no link has to carry many copies.
+//! Decides which box sends a large change to which other box, so that no link has to carry many
+//! copies.
 //!
-//! A hub knows from their questions which boxes have a change already. It sends each box
-//! that lacks one to a box that has it and has little to send, and tells it to ask again
-//! where all have enough; so the senders double each round. One sender alone would need
-//! 300 * 60 kB over its own link, 14 s at 10 Mbit/s; in rounds it takes eight copies.
-//! See `docs/design/spreading.md`.
+//! A hub knows from their polls which boxes already have a change. It directs each box that lacks
+//! it to a box that has it and is not busy sending, or tells it to retry later if all are busy; so
+//! the number of senders doubles each round. A single sender would have to send 300 * 60 kB over
+//! its own link, 14 s at 10 Mbit/s; in rounds it sends eight copies. See
+//! `docs/design/spreading.md`.
 
 use crate::clock::Now;
 use serde::{Deserialize, Serialize};
@@ -12,44 +13,44 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The bytes that a box is to send at a time: a link of 10 Mbit/s carries them in 0.08 s,
-/// which is about the time until a box that was told to ask again does so.
-const SENT_AT_A_TIME: usize = 100_000;
-/// The most boxes that one sends to at a time, however little it is: each costs a
+/// The bytes that a box may be sending at a time. A link of 10 Mbit/s carries them in 0.08 s, which
+/// is about the time after which a box that was told to retry does so.
+const MAX_BYTES_IN_FLIGHT: usize = 100_000;
+/// The most boxes that a box sends to at a time, even if the change is small: each costs a
 /// connection and some processor time.
-const MOST_RECEIVERS: usize = 8;
-/// How long a box that asked is taken to be there.
-const ASKER_LIFETIME: Duration = Duration::from_secs(2);
-/// How long a box is left to fetch before its place at the sender is given to another: more
-/// than a fetch takes unless it fails, and then the box asks again by itself.
-const FETCH_LIFETIME: Duration = Duration::from_millis(1500);
+const MAX_RECEIVERS: usize = 8;
+/// How long after its last poll a box is considered alive.
+const POLLER_LIFETIME: Duration = Duration::from_secs(2);
+/// How long a fetch occupies its sender before the slot is given to another box. A fetch takes less
+/// time unless it fails, and then the box polls again by itself.
+const FETCH_SLOT_LIFETIME: Duration = Duration::from_millis(1500);
 
-/// Where a box finds a large change.
+/// Where a box can fetch a large change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Source {
-    /// At the hub that it asked.
+pub enum FetchSource {
+    /// From the hub that it polled.
     Hub,
-    /// At another box.
-    Other(SocketAddr),
-    /// Nowhere now; it is to ask again.
-    AskAgain,
+    /// From another box.
+    Peer(SocketAddr),
+    /// Nowhere at the moment; it has to poll again.
+    RetryLater,
 }
 
-/// What a hub knows of the boxes that ask it.
+/// A hub's record of the boxes that poll it and of their fetches.
 #[derive(Debug, Default)]
-pub struct Spread {
-    askers: HashMap<SocketAddr, Asker>,
-    /// The boxes that fetch, with their senders; none is the hub itself.
+pub struct FetchPlanner {
+    pollers: HashMap<SocketAddr, Poller>,
+    /// The fetches in progress by receiver. A sender of `None` is the hub itself.
     fetches: HashMap<SocketAddr, Fetch>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Asker {
-    at: Duration,
-    /// The revision that it said it had reached.
-    reached: u64,
-    /// The revision that it has reached if the last news came through.
-    told: u64,
+struct Poller {
+    last_polled: Duration,
+    /// The revision that it reported as reached.
+    reached_revision: u64,
+    /// The revision that it has reached if the last update arrived.
+    sent_revision: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -60,89 +61,89 @@
 
 /// A large change that a box lacks.
 #[derive(Debug, Clone, Copy)]
-pub struct Lacking {
-    /// The revision from which on a box has it.
+pub struct MissingChange {
+    /// A box that has reached this revision has the change.
     pub revision: u64,
-    /// Its bytes.
+    /// The size of the change in bytes.
     pub bytes: usize,
-    /// Where it could not be fetched just now.
-    pub failed: Option<Source>,
+    /// The source from which the last fetch failed.
+    pub failed_source: Option<FetchSource>,
 }
 
-impl Spread {
-    /// Records that a box asked, and the revision that it has reached.
-    pub fn heard_of(&mut self, asker: SocketAddr, reached: u64, now: Now) {
-        let asked = Asker {
-            at: now.monotonic,
-            reached,
-            told: reached,
+impl FetchPlanner {
+    /// Records a poll and the revision that the box has reached.
+    pub fn record_poll(&mut self, poller: SocketAddr, reached: u64, now: Now) {
+        let polled = Poller {
+            last_polled: now.monotonic,
+            reached_revision: reached,
+            sent_revision: reached,
         };
-        self.askers.insert(asker, asked);
+        self.pollers.insert(poller, polled);
     }
 
-    /// Records that boxes were told all that there is up to a revision.
-    pub fn told(&mut self, boxes: &[SocketAddr], revision: u64) {
+    /// Records that boxes were sent all changes up to a revision.
+    pub fn record_sent(&mut self, boxes: &[SocketAddr], revision: u64) {
         for address in boxes {
-            if let Some(asker) = self.askers.get_mut(address) {
-                asker.told = revision;
+            if let Some(poller) = self.pollers.get_mut(address) {
+                poller.sent_revision = revision;
             }
         }
     }
 
-    /// Records that a box has what it fetched, or has given up.
-    pub fn fetch_ended(&mut self, receiver: SocketAddr) {
+    /// Records that a box has finished or abandoned its fetch.
+    pub fn record_fetch_end(&mut self, receiver: SocketAddr) {
         self.fetches.remove(&receiver);
     }
 
-    /// Returns the boxes that asked a short while ago, each with the revision that it has
-    /// reached if what it was told came through.
-    pub fn askers(&mut self, now: Now) -> Vec<(SocketAddr, u64)> {
-        self.forget(now);
-        let askers = self.askers.iter();
-        askers
-            .map(|(address, asker)| (*address, asker.told))
+    /// Returns the boxes that polled recently, each with the revision that it has reached if the
+    /// last update arrived.
+    pub fn recent_pollers(&mut self, now: Now) -> Vec<(SocketAddr, u64)> {
+        self.expire(now);
+        let pollers = self.pollers.iter();
+        pollers
+            .map(|(address, poller)| (*address, poller.sent_revision))
             .collect()
     }
 
-    fn forget(&mut self, now: Now) {
+    fn expire(&mut self, now: Now) {
         let age = |at: Duration| now.monotonic.saturating_sub(at);
-        self.askers
-            .retain(|_, asker| age(asker.at) < ASKER_LIFETIME);
+        self.pollers
+            .retain(|_, poller| age(poller.last_polled) < POLLER_LIFETIME);
         self.fetches
-            .retain(|_, fetch| age(fetch.since) < FETCH_LIFETIME);
+            .retain(|_, fetch| age(fetch.since) < FETCH_SLOT_LIFETIME);
     }
 
-    /// Returns where a box is to fetch what it lacks.
+    /// Returns the source from which a box should fetch a change that it lacks.
     ///
-    /// `is_near` tells whether two boxes, or a box and the hub, share a hall; of senders with
-    /// as little to do a near one is taken, since bytes between halls are dear.
+    /// `shares_hall` returns whether a sender (`None`: the hub) is in the receiver's hall. Among
+    /// equally loaded senders, one in the same hall is preferred, since traffic between halls is
+    /// expensive.
     pub fn source_for(
         &mut self,
         receiver: SocketAddr,
-        lacking: Lacking,
-        is_near: impl Fn(Option<SocketAddr>) -> bool,
+        missing: MissingChange,
+        shares_hall: impl Fn(Option<SocketAddr>) -> bool,
         now: Now,
-    ) -> Source {
-        self.forget(now);
-        self.fetch_ended(receiver);
-        let most = (SENT_AT_A_TIME / lacking.bytes.max(1)).clamp(1, MOST_RECEIVERS);
+    ) -> FetchSource {
+        self.expire(now);
+        self.record_fetch_end(receiver);
+        let max_receivers = (MAX_BYTES_IN_FLIGHT / missing.bytes.max(1)).clamp(1, MAX_RECEIVERS);
         let receivers = self.receivers_by_sender();
-        let holders = self
-            .askers
-            .iter()
-            .filter(|(address, asker)| asker.reached >= lacking.revision && **address != receiver);
+        let holders = self.pollers.iter().filter(|(address, poller)| {
+            poller.reached_revision >= missing.revision && **address != receiver
+        });
         let senders = holders.map(|(address, _)| Some(*address));
         let free = senders
             .chain([None])
-            .filter(|sender| lacking.failed != Some(source(*sender)))
+            .filter(|sender| missing.failed_source != Some(source(*sender)))
             .map(|sender| {
                 let receivers = receivers.get(&sender).copied().unwrap_or_default();
-                (receivers, !is_near(sender), sender)
+                (receivers, !shares_hall(sender), sender)
             })
-            .filter(|(receivers, _, _)| *receivers < most)
+            .filter(|(receivers, _, _)| *receivers < max_receivers)
             .min();
         let Some((_, _, sender)) = free else {
-            return Source::AskAgain;
+            return FetchSource::RetryLater;
         };
         let since = now.monotonic;
         self.fetches.insert(receiver, Fetch { sender, since });
@@ -158,6 +159,6 @@
     }
 }
 
-fn source(sender: Option<SocketAddr>) -> Source {
-    sender.map_or(Source::Hub, Source::Other)
+fn source(sender: Option<SocketAddr>) -> FetchSource {
+    sender.map_or(FetchSource::Hub, FetchSource::Peer)
 }
--- a/src/gateway/peers/hub_poller.rs
+++ b/src/gateway/peers/hub_poller.rs
@@ -1,17 +1,17 @@
-//! Asking the hubs for what the store holds, and fetching what they name.
+//! Polls the hubs for changes and fetches what the hubs direct it to.
 //!
-//! A box asks one hub several times a second ([`super::hubs`]) and makes one fetch at a time.
-//! See `docs/design/spreading.md`.
+//! A box polls one hub several times a second ([`super::hubs`]) and runs one fetch at a time. See
+//! `docs/design/spreading.md`.
 
-use super::fetch::{Progress, Wanted, fetch};
-use super::fetch_planner::Source;
-use super::hubs::{Fetching, Question, Told, choose_hubs};
-use super::packing::Unusable;
+use super::fetch::{FetchProgress, FetchRequest, fetch};
+use super::fetch_planner::FetchSource;
+use super::hubs::{FetchStatus, HubUpdate, PollRequest, choose_hubs};
+use super::packing::UnpackError;
 use crate::clock::Now;
 use crate::gateway::Gateway;
 use crate::gateway::control::mirror::PackedChanges;
 use crate::gateway::control::store::{BoxEntry, ControlStore};
-use crate::gateway::control::store_sync::{apply_changes, take_part};
+use crate::gateway::control::store_sync::{apply_changes, apply_partial_changes};
 use crate::wire::WireError;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -22,299 +22,320 @@
 use tokio::sync::Notify;
 use tokio::time::sleep;
 
-/// The time between two questions of a box.
-const ASK_INTERVAL: Duration = Duration::from_millis(400);
-/// The same for a box that was told to ask again for what it lacks: about the time that a
-/// sender takes to be free again.
-const ASK_AGAIN_INTERVAL: Duration = Duration::from_millis(100);
-/// The least time between two questions, however many fetches end or fail.
-const LEAST_ASK_INTERVAL: Duration = Duration::from_millis(30);
-/// How long an answer may take before the next question goes to another box. The way there
-/// and back takes 3 ms and a turn of a busy processor some ten; a hub that was lost was
-/// asked for 1.3 s in vain while its last answer alone was looked at.
-const ANSWER_WAIT: Duration = Duration::from_millis(250);
-/// How old a hub's knowledge may be for the next question to go to it again.
-const TRUSTED_AGE: Duration = Duration::from_millis(1300);
-/// Boxes that are asked in turn beside the hubs while no hub knows anything fresh.
-const OTHERS_ASKED: usize = 4;
-/// How many times in a row items may be of no use before they are asked for as a whole.
-/// Once happens where two changes overtake each other, and the next question mends it.
-const USELESS_BEFORE_WHOLE: u32 = 2;
+/// The time between two polls.
+const POLL_INTERVAL: Duration = Duration::from_millis(400);
+/// The time between two polls of a box that was told to retry a fetch: about the time until a
+/// sender is free again.
+const RETRY_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// The shortest time between two polls, however many fetches end or fail.
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(30);
+/// How long a response may take before the next poll goes to another box. A round trip takes 3 ms
+/// and the scheduling delay of a busy processor about ten. When only the age of the last response
+/// was considered, a lost hub was polled in vain for 1.3 s.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
+/// How old a hub's state may be for that hub to be polled again.
+const MAX_HUB_STATE_AGE: Duration = Duration::from_millis(1300);
+/// The number of boxes polled in turn in addition to the hubs while no hub has fresh state.
+const FALLBACK_BOXES: usize = 4;
+/// How many consecutive unpack failures cause a request for full values. A single failure occurs
+/// when two changes overtake each other, and the next poll resolves it.
+const UNPACK_FAILURES_BEFORE_FULL: u32 = 2;
 
-/// How the boxes that were asked answered, and what this box fetches.
+/// The responses of the polled boxes and the status of this box's fetch.
 #[derive(Debug, Default)]
 pub struct HubPoller {
-    asked: RefCell<HashMap<SocketAddr, Asked>>,
-    fetching: Cell<Fetching>,
-    /// Whether the next question is due soon, but not at once.
-    asks_again: Cell<bool>,
-    /// How many times in a row what came was of no use.
-    unusable: Cell<u32>,
-    /// Rings when the next question should not wait for its usual time.
-    ask_now: Notify,
+    polled: RefCell<HashMap<SocketAddr, PollHistory>>,
+    fetch_status: Cell<FetchStatus>,
+    /// Whether the next poll is due after the retry interval.
+    retry_pending: Cell<bool>,
+    /// The number of consecutive updates that could not be unpacked.
+    unpack_failures: Cell<u32>,
+    /// Wakes the poller before the regular interval is over.
+    poll_now: Notify,
 }
 
-/// How a box that was asked behaves.
+/// The poll history of one box.
 #[derive(Debug, Clone, Copy, Default)]
-struct Asked {
-    /// When the question was sent that it has not answered.
+struct PollHistory {
+    /// When the first poll was sent that is still unanswered.
     unanswered_since: Option<Duration>,
-    /// When it answered last, and how old its knowledge was then.
-    answered: Option<(Duration, Duration)>,
+    /// When the last response arrived, and the age of the responder's state at that time.
+    last_response: Option<(Duration, Duration)>,
 }
 
 impl HubPoller {
-    /// Tells whether items have to come as a whole, since differences were of no use.
-    fn wants_whole(&self) -> bool {
-        self.unusable.get() >= USELESS_BEFORE_WHOLE
+    /// Returns whether to request full values because deltas could not be unpacked.
+    fn wants_full_values(&self) -> bool {
+        self.unpack_failures.get() >= UNPACK_FAILURES_BEFORE_FULL
     }
 
-    fn ask_again_soon(&self) {
-        self.asks_again.set(true);
-        self.ask_now.notify_one();
+    fn poll_again_soon(&self) {
+        self.retry_pending.set(true);
+        self.poll_now.notify_one();
     }
 
-    /// Tells whether a fetch is under way.
+    /// Returns whether a fetch is in progress.
     pub fn is_fetching(&self) -> bool {
-        self.fetching.get() == Fetching::UnderWay
+        self.fetch_status.get() == FetchStatus::InProgress
     }
 
-    fn asks(&self, address: SocketAddr, now: Now) {
-        let mut asked = self.asked.borrow_mut();
-        let asked = asked.entry(address).or_default();
-        asked.unanswered_since.get_or_insert(now.monotonic);
+    fn record_poll(&self, address: SocketAddr, now: Now) {
+        let mut polled = self.polled.borrow_mut();
+        let history = polled.entry(address).or_default();
+        history.unanswered_since.get_or_insert(now.monotonic);
     }
 
-    fn answered(&self, address: SocketAddr, age: Duration, now: Now) {
-        let asked = Asked {
+    fn record_response(&self, address: SocketAddr, age: Duration, now: Now) {
+        let history = PollHistory {
             unanswered_since: None,
-            answered: Some((now.monotonic, age)),
+            last_response: Some((now.monotonic, age)),
         };
-        self.asked.borrow_mut().insert(address, asked);
+        self.polled.borrow_mut().insert(address, history);
     }
 
-    /// Returns whether a box's last answer, and none missing since, is a reason to ask it
-    /// again.
-    fn is_trusted(&self, address: SocketAddr, now: Now) -> bool {
-        let asked = self.asked.borrow();
-        let Some(asked) = asked.get(&address) else {
+    /// Returns whether a box's last response was fresh and no later poll has timed out, so that it
+    /// should be polled again.
+    fn is_preferred(&self, address: SocketAddr, now: Now) -> bool {
+        let polled = self.polled.borrow();
+        let Some(history) = polled.get(&address) else {
             return false;
         };
         let since = |at: Duration| now.monotonic.saturating_sub(at);
-        let is_silent = asked
+        let is_silent = history
             .unanswered_since
-            .is_some_and(|at| since(at) > ANSWER_WAIT);
-        let is_fresh = asked
-            .answered
-            .is_some_and(|(at, age)| since(at) + age < TRUSTED_AGE);
+            .is_some_and(|at| since(at) > RESPONSE_TIMEOUT);
+        let is_fresh = history
+            .last_response
+            .is_some_and(|(at, age)| since(at) + age < MAX_HUB_STATE_AGE);
         is_fresh && !is_silent
     }
 }
 
-/// Asks a hub again and again, for as long as the process lives.
-pub async fn ask(gw: &Gateway, send: impl AsyncFn(SocketAddr, Question)) {
-    let mut turn = 0;
+/// Polls hubs for as long as the process lives.
+pub async fn poll_hubs(gw: &Gateway, send: impl AsyncFn(SocketAddr, PollRequest)) {
+    let mut offset = 0;
     loop {
-        await_next_question(&gw.asking).await;
+        await_next_poll(&gw.asking).await;
         let now = Now::read();
-        if gw.is_hub() && gw.knows_within(TRUSTED_AGE, now) {
+        if gw.is_hub() && gw.knows_within(MAX_HUB_STATE_AGE, now) {
             continue;
         }
-        let Some(hub) = next_hub(gw, &mut turn, now) else {
+        let Some(hub) = next_poll_target(gw, &mut offset, now) else {
             continue;
         };
-        let question = Question {
+        let poll = PollRequest {
             after: gw.mirror.borrow().revision(),
-            asked_micros: u64::try_from(now.monotonic.as_micros()).unwrap_or(u64::MAX),
-            fetching: gw.asking.fetching.get(),
+            sent_micros: u64::try_from(now.monotonic.as_micros()).unwrap_or(u64::MAX),
+            fetching: gw.asking.fetch_status.get(),
         };
-        if question.fetching != Fetching::UnderWay {
-            // A failure is told once; the next hub may know of no other sender.
-            gw.asking.fetching.set(Fetching::None);
+        if poll.fetching != FetchStatus::InProgress {
+            // A failure is reported once; the next hub may know of no other sender.
+            gw.asking.fetch_status.set(FetchStatus::None);
         }
-        gw.asking.asks(hub, now);
-        send(hub, question).await;
+        gw.asking.record_poll(hub, now);
+        send(hub, poll).await;
     }
 }
 
-async fn await_next_question(asking: &HubPoller) {
-    sleep(LEAST_ASK_INTERVAL).await;
-    let rung = asking.ask_now.notified();
-    // Whether the time is over or it has rung, the next question is due.
-    let _ = tokio::time::timeout(ASK_INTERVAL - LEAST_ASK_INTERVAL, rung).await;
-    if asking.asks_again.take() {
-        sleep(ASK_AGAIN_INTERVAL - LEAST_ASK_INTERVAL).await;
+async fn await_next_poll(poller: &HubPoller) {
+    sleep(MIN_POLL_INTERVAL).await;
+    let notified = poller.poll_now.notified();
+    // The next poll is due on the timeout as well as on a notification.
+    let _ = tokio::time::timeout(POLL_INTERVAL - MIN_POLL_INTERVAL, notified).await;
+    if poller.retry_pending.take() {
+        sleep(RETRY_POLL_INTERVAL - MIN_POLL_INTERVAL).await;
     }
 }
 
-/// Returns the hub of the own hall, or any whose last answer was fresh; else the hubs and
-/// some other boxes take turns, since some may still reach the store.
-fn next_hub(gw: &Gateway, turn: &mut usize, now: Now) -> Option<SocketAddr> {
+/// Returns the hub to poll: that of the own hall, or any hub or fallback box whose last response
+/// was fresh. If there is none, the hubs and some other boxes take turns, since some may still
+/// reach the store.
+fn next_poll_target(gw: &Gateway, offset: &mut usize, now: Now) -> Option<SocketAddr> {
     let settings = gw.settings();
-    let knowledge = gw.knowledge.borrow();
-    let mut asked = choose_hubs(knowledge.boxes());
-    asked.sort_by_key(|hub| hub.hall != settings.hall);
-    let mut others = knowledge.boxes_by_registration();
-    let is_hub = |entry: &&BoxEntry| asked.iter().any(|hub| hub.address == entry.address);
+    let state = gw.knowledge.borrow();
+    let mut candidates = choose_hubs(state.boxes());
+    candidates.sort_by_key(|hub| hub.hall != settings.hall);
+    let mut others = state.boxes_by_registration();
+    let is_hub = |entry: &&BoxEntry| candidates.iter().any(|hub| hub.address == entry.address);
     others.retain(|entry| !is_hub(entry));
-    asked.extend(others.into_iter().take(OTHERS_ASKED));
-    asked.retain(|entry| entry.address != settings.peers);
-    let trusted = asked
+    candidates.extend(others.into_iter().take(FALLBACK_BOXES));
+    candidates.retain(|entry| entry.address != settings.peers);
+    let preferred = candidates
         .iter()
-        .find(|entry| gw.asking.is_trusted(entry.address, now));
-    if let Some(entry) = trusted {
+        .find(|entry| gw.asking.is_preferred(entry.address, now));
+    if let Some(entry) = preferred {
         return Some(entry.address);
     }
-    *turn = turn.wrapping_add(1);
-    let at = *turn % asked.len().max(1);
-    asked.get(at).map(|entry| entry.address)
+    *offset = offset.wrapping_add(1);
+    let at = *offset % candidates.len().max(1);
+    candidates.get(at).map(|entry| entry.address)
 }
 
-/// Takes what a hub tells, and begins to fetch what did not fit.
-pub fn take_told(gw: &Rc<Gateway>, store: &Rc<dyn ControlStore>, told: Told, hub: SocketAddr) {
+/// Applies a hub's update and starts to fetch the part that did not fit.
+pub fn apply_hub_update(
+    gw: &Rc<Gateway>,
+    store: &Rc<dyn ControlStore>,
+    update: HubUpdate,
+    hub: SocketAddr,
+) {
     let now = Now::read();
-    let age = Duration::from_millis(told.age_ms);
-    if told.asked_micros.is_some() {
-        gw.asking.answered(hub, age, now);
+    let age = Duration::from_millis(update.age_ms);
+    if update.sent_micros.is_some() {
+        gw.asking.record_response(hub, age, now);
     }
     let own = gw.mirror.borrow().revision();
-    if told.revision > own {
-        gw.knowledge.borrow_mut().hear_of_newer(told.revision, now);
+    if update.revision > own {
+        gw.knowledge
+            .borrow_mut()
+            .record_newer_revision(update.revision, now);
     }
-    let fits = told.changes.is_snapshot || told.changes.after <= own;
+    let fits = update.changes.is_snapshot || update.changes.after <= own;
     if !fits {
-        // News for a box that is further on; the next question brings what this one lacks.
+        // This update was meant for a box at a later revision; the next poll brings what this one
+        // lacks.
         return;
     }
-    gw.telemetry.received("hub", told.changes.len());
-    let unpacked = gw.mirror.borrow().unpack(told.changes);
-    match (unpacked, told.rest) {
+    gw.telemetry.received("hub", update.changes.len());
+    let unpacked = gw.mirror.borrow().unpack(update.changes);
+    match (unpacked, update.remainder) {
         (Ok(changes), None) => {
-            gw.asking.unusable.set(0);
+            gw.asking.unpack_failures.set(0);
             apply_changes(gw, &**store, changes, "hub");
         }
         (Ok(changes), Some(source)) => {
-            take_part(gw, &**store, changes, "hub");
-            fetch_rest(gw, store, source, hub);
+            apply_partial_changes(gw, &**store, changes, "hub");
+            start_fetch(gw, store, source, hub);
         }
         (Err(err), _) => {
-            unusable(gw, &err, hub);
-            if gw.asking.wants_whole() {
-                fetch_rest(gw, store, Source::Hub, hub);
+            record_unpack_failure(gw, &err, hub);
+            if gw.asking.wants_full_values() {
+                start_fetch(gw, store, FetchSource::Hub, hub);
             }
         }
     }
-    if let Some(asked) = told.asked_micros
-        && gw.mirror.borrow().revision() >= told.revision
-        && let Some(as_of) = Duration::from_micros(asked).checked_sub(age)
+    if let Some(sent_micros) = update.sent_micros
+        && gw.mirror.borrow().revision() >= update.revision
+        && let Some(as_of) = Duration::from_micros(sent_micros).checked_sub(age)
     {
         gw.confirm(as_of);
     }
 }
 
-/// Notes that something came which cannot be used; the next question is due soon.
-fn unusable(gw: &Gateway, err: &Unusable, from: SocketAddr) {
-    gw.asking.unusable.set(gw.asking.unusable.get() + 1);
-    gw.asking.ask_again_soon();
+/// Records that an update could not be unpacked, and schedules the next poll soon.
+fn record_unpack_failure(gw: &Gateway, err: &UnpackError, from: SocketAddr) {
+    gw.asking
+        .unpack_failures
+        .set(gw.asking.unpack_failures.get() + 1);
+    gw.asking.poll_again_soon();
     let reason = err.to_string();
-    log::warn!(from = from.to_string().as_str(), reason = reason.as_str(); "items cannot be used, what was known stays in force");
+    log::warn!(from = from.to_string().as_str(), reason = reason.as_str(); "received items are unusable, the known state stays in force");
 }
 
-/// Begins to fetch, unless a fetch is under way.
-fn fetch_rest(gw: &Rc<Gateway>, store: &Rc<dyn ControlStore>, source: Source, hub: SocketAddr) {
+/// Starts a fetch unless one is in progress.
+fn start_fetch(
+    gw: &Rc<Gateway>,
+    store: &Rc<dyn ControlStore>,
+    source: FetchSource,
+    hub: SocketAddr,
+) {
     if gw.asking.is_fetching() {
         return;
     }
     let from = match source {
-        Source::Hub => hub,
-        Source::Other(address) => address,
-        Source::AskAgain => {
-            gw.asking.ask_again_soon();
+        FetchSource::Hub => hub,
+        FetchSource::Peer(address) => address,
+        FetchSource::RetryLater => {
+            gw.asking.poll_again_soon();
             return;
         }
     };
-    gw.asking.fetching.set(Fetching::UnderWay);
+    gw.asking.fetch_status.set(FetchStatus::InProgress);
     let (gw, store) = (gw.clone(), store.clone());
     actix_rt::spawn(async move {
-        let is_taken = fetch_and_take(&gw, &*store, from).await;
-        gw.asking.fetching.set(match is_taken {
-            true => Fetching::None,
-            false => Fetching::Failed(source),
+        let is_applied = fetch_and_apply(&gw, &*store, from).await;
+        gw.asking.fetch_status.set(match is_applied {
+            true => FetchStatus::None,
+            false => FetchStatus::Failed(source),
         });
-        // The hub learns that its sender is free, and brings the proof of freshness.
-        gw.asking.ask_now.notify_one();
+        // The next poll tells the hub that the sender is free, and confirms that the state is
+        // current.
+        gw.asking.poll_now.notify_one();
     });
 }
 
-/// Fetches from a box; false if nothing could be taken.
-async fn fetch_and_take(gw: &Gateway, store: &dyn ControlStore, from: SocketAddr) -> bool {
-    let began = Now::read();
-    let wanted = Wanted {
+/// Fetches changes from a box and applies them; returns false if that failed.
+async fn fetch_and_apply(gw: &Gateway, store: &dyn ControlStore, from: SocketAddr) -> bool {
+    let started_at = Now::read();
+    let request = FetchRequest {
         after: gw.mirror.borrow().revision(),
-        as_a_whole: gw.asking.wants_whole(),
+        full_values: gw.asking.wants_full_values(),
     };
-    let progress = Progress::default();
-    let fetched = fetch(from, wanted, &progress).await;
+    let progress = FetchProgress::default();
+    let fetched = fetch(from, request, &progress).await;
     gw.telemetry.received("fetch", progress.bytes());
     let outcome = match fetched {
-        Ok(packed) => take_fetched(gw, store, packed),
-        Err(err) => Err(FetchError::Lost(err)),
+        Ok(packed) => apply_fetched(gw, store, packed),
+        Err(err) => Err(FetchError::TransferFailed(err)),
     };
-    let took = Now::read().monotonic.saturating_sub(began.monotonic);
-    gw.telemetry.fetched(from, &outcome, progress.bytes(), took);
-    if let Err(FetchError::Unusable(err)) = &outcome {
-        unusable(gw, err, from);
+    let elapsed = Now::read().monotonic.saturating_sub(started_at.monotonic);
+    gw.telemetry
+        .fetched(from, &outcome, progress.bytes(), elapsed);
+    if let Err(FetchError::UnpackFailed(err)) = &outcome {
+        record_unpack_failure(gw, err, from);
     }
     outcome.is_ok()
 }
 
-/// Why a fetch brought nothing.
+/// Why a fetch brought no changes.
 #[derive(Debug)]
 pub enum FetchError {
-    /// The bytes did not come.
-    Lost(WireError),
-    /// What came cannot be used.
-    Unusable(Unusable),
-    /// This box has got further on its own in the meantime, or the sender is behind it.
-    Behind,
+    /// The transfer failed.
+    TransferFailed(WireError),
+    /// The received items are unusable.
+    UnpackFailed(UnpackError),
+    /// This box has advanced in the meantime, or the sender is behind it.
+    NotApplicable,
 }
 
 impl fmt::Display for FetchError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Lost(err) => write!(f, "{err}"),
-            Self::Unusable(err) => write!(f, "{err}"),
-            Self::Behind => write!(f, "it does not lead on from what this box has"),
+            Self::TransferFailed(err) => write!(f, "{err}"),
+            Self::UnpackFailed(err) => write!(f, "{err}"),
+            Self::NotApplicable => write!(
+                f,
+                "the changes do not continue from the revision of this box"
+            ),
         }
     }
 }
 
 impl FetchError {
-    /// Returns the outcome's name in metrics.
+    /// Returns the label of the outcome in metrics.
     pub fn name(&self) -> &'static str {
         match self {
-            Self::Lost(_) => "lost",
-            Self::Unusable(_) => "unusable",
-            Self::Behind => "behind",
+            Self::TransferFailed(_) => "lost",
+            Self::UnpackFailed(_) => "unusable",
+            Self::NotApplicable => "behind",
         }
     }
 }
 
-fn take_fetched(
+fn apply_fetched(
     gw: &Gateway,
     store: &dyn ControlStore,
     packed: PackedChanges,
 ) -> Result<(), FetchError> {
     let own = gw.mirror.borrow().revision();
     if !packed.is_snapshot && packed.after > own || packed.revision < own {
-        return Err(FetchError::Behind);
+        return Err(FetchError::NotApplicable);
     }
     let changes = gw
         .mirror
         .borrow()
         .unpack(packed)
-        .map_err(FetchError::Unusable)?;
-    gw.asking.unusable.set(0);
+        .map_err(FetchError::UnpackFailed)?;
+    gw.asking.unpack_failures.set(0);
     apply_changes(gw, store, changes, "fetch");
     Ok(())
 }
--- a/src/gateway/peers/hubs.rs
+++ b/src/gateway/peers/hubs.rs
@@ -1,17 +1,17 @@
-//! Passing on what the store holds, so that few boxes call it: the hubs' side.
+//! The hubs' side of distributing the store's contents to all boxes, so that only a few boxes call
+//! the store.
 //!
-//! The hubs are the box with the widest link, and the one with the widest link in another
-//! hall. The others ask one of them several times a second, with the revision that they
-//! have reached, and are told what came since. An answer names the age of the hub's
-//! knowledge, and the asking box counts that from its own question, so that no delay on
-//! the way makes knowledge look fresher than it is. A hub also tells its askers and the
-//! other hub of news at once. What does not fit into a datagram is fetched over an `h2`
-//! stream from a box that the hub names ([`super::fetch_planner`]). The side of the boxes that ask is
-//! [`super::hub_poller`].
-//! See `docs/design/platform.md` and `docs/design/spreading.md`.
+//! The hubs are the box with the widest link and the box with the widest link in another hall. The
+//! other boxes poll one of them several times a second, stating the revision that they have
+//! reached, and receive the changes since then. A response states the age of the hub's state, and
+//! the polling box counts that age from the time of its own request, so that no network delay makes
+//! the state look fresher than it is. A hub also pushes new changes at once to its recent pollers
+//! and to the other hub. Changes that do not fit into a datagram are fetched over an `h2` stream
+//! from a box that the hub selects ([`super::fetch_planner`]). The polling side is
+//! [`super::hub_poller`]. See `docs/design/platform.md` and `docs/design/spreading.md`.
 
-use super::fetch::PackedEverything;
-use super::fetch_planner::{Lacking, Source, Spread};
+use super::fetch::SnapshotCache;
+use super::fetch_planner::{FetchPlanner, FetchSource, MissingChange};
 use crate::clock::{Now, millis};
 use crate::gateway::Gateway;
 use crate::gateway::control::mirror::PackedChanges;
@@ -23,60 +23,61 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The most bytes of items that go into a datagram.
-const DATAGRAM_ITEMS: usize = 12 * 1024;
+/// The most bytes of items in one datagram.
+const MAX_DATAGRAM_ITEM_BYTES: usize = 12 * 1024;
 
-/// A question to a hub.
+/// A poll of a hub.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub struct Question {
-    /// The revision that the asking box has reached.
+pub struct PollRequest {
+    /// The revision that the polling box has reached.
     pub after: u64,
-    /// The asking box's steady clock when it asked, in microseconds.
-    pub asked_micros: u64,
-    /// What became of the fetch that it was told to make.
-    pub fetching: Fetching,
+    /// The polling box's monotonic clock when it sent the poll, in microseconds.
+    pub sent_micros: u64,
+    /// The status of the fetch that the box was directed to make.
+    pub fetching: FetchStatus,
 }
 
-/// How a box's fetch stands.
+/// The status of a box's fetch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub enum Fetching {
-    /// There is none, or the last one ended well.
+pub enum FetchStatus {
+    /// No fetch is in progress; the last one, if any, succeeded.
     #[default]
     None,
-    /// It goes on.
-    UnderWay,
-    /// It failed there.
-    Failed(Source),
+    /// A fetch is in progress.
+    InProgress,
+    /// The last fetch, from this source, failed.
+    Failed(FetchSource),
 }
 
-/// A hub's answer, or its news without a question.
+/// A hub's response to a poll, or an update that it pushes.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Told {
-    /// The clock of the question that this answers; none for news.
-    pub asked_micros: Option<u64>,
-    /// The age of the hub's knowledge, in milliseconds.
+pub struct HubUpdate {
+    /// `sent_micros` of the poll that this answers; `None` for a pushed update.
+    pub sent_micros: Option<u64>,
+    /// The age of the hub's state, in milliseconds.
     pub age_ms: u64,
     /// The revision that the hub has reached.
     pub revision: u64,
-    /// What came since, as far as it fits.
+    /// The changes since the receiver's revision, as far as they fit.
     pub changes: PackedChanges,
-    /// Where the rest is to be fetched; none if there is no rest.
-    pub rest: Option<Source>,
+    /// Where to fetch the changes that did not fit; `None` if all did.
+    pub remainder: Option<FetchSource>,
 }
 
-/// What this box knows, as a hub, of the boxes that ask it.
+/// The state that this box keeps as a hub.
 #[derive(Debug, Default)]
 pub struct HubState {
-    spread: RefCell<Spread>,
-    /// What boxes that start are told.
-    pub everything: PackedEverything,
+    planner: RefCell<FetchPlanner>,
+    /// The cached snapshot for boxes that start.
+    pub snapshot_cache: SnapshotCache,
 }
 
-/// Returns the hubs among boxes: the one with the widest link, and the one with the widest
-/// link in another hall, or else the next. Of links as wide, the box registered longest.
+/// Returns the hubs among boxes: the box with the widest link, and the box with the widest link in
+/// another hall, or the next widest if there is a single hall. Among equally wide links, the box
+/// registered longest is chosen.
 ///
-/// A hub has the whole of each change from the store, a megabyte at times, before any other
-/// box can have it: a link of 10 Mbit/s takes 1.1 s for that, one of 200 Mbit/s 0.06 s.
+/// A hub has to receive each change completely from the store, sometimes a megabyte, before any
+/// other box can get it: this takes 1.1 s at 10 Mbit/s and 0.06 s at 200 Mbit/s.
 pub fn choose_hubs<'a>(boxes: impl Iterator<Item = &'a BoxEntry>) -> Vec<&'a BoxEntry> {
     let mut boxes: Vec<&BoxEntry> = boxes.collect();
     boxes.sort_by_key(|entry| (Reverse(entry.link_mbps), entry.registered));
@@ -89,67 +90,80 @@
 }
 
 impl HubState {
-    /// Answers a question.
-    pub fn answer(&self, gw: &Gateway, question: Question, from: SocketAddr, now: Now) -> Told {
+    /// Answers a poll.
+    pub fn handle_poll(
+        &self,
+        gw: &Gateway,
+        poll: PollRequest,
+        from: SocketAddr,
+        now: Now,
+    ) -> HubUpdate {
         {
-            let mut spread = self.spread.borrow_mut();
-            spread.heard_of(from, question.after, now);
-            if question.fetching != Fetching::UnderWay {
-                spread.fetch_ended(from);
+            let mut planner = self.planner.borrow_mut();
+            planner.record_poll(from, poll.after, now);
+            if poll.fetching != FetchStatus::InProgress {
+                planner.record_fetch_end(from);
             }
         }
-        let mut told = self.tell(gw, from, question.after, question.fetching, now);
-        told.asked_micros = Some(question.asked_micros);
-        told
+        let mut update = self.build_update(gw, from, poll.after, poll.fetching, now);
+        update.sent_micros = Some(poll.sent_micros);
+        update
     }
 
-    fn tell(&self, gw: &Gateway, to: SocketAddr, after: u64, fetching: Fetching, now: Now) -> Told {
+    fn build_update(
+        &self,
+        gw: &Gateway,
+        to: SocketAddr,
+        after: u64,
+        fetching: FetchStatus,
+        now: Now,
+    ) -> HubUpdate {
         let mut changes = gw.mirror.borrow_mut().changes_after(after, false);
         let bytes = changes.len();
-        let left_out = changes.leave_out_beyond(DATAGRAM_ITEMS);
-        let rest = left_out.map(|revision| {
-            let failed = match fetching {
-                // It has its sender already.
-                Fetching::UnderWay => return Source::AskAgain,
-                Fetching::Failed(source) => Some(source),
-                Fetching::None => None,
+        let dropped = changes.drop_largest_beyond(MAX_DATAGRAM_ITEM_BYTES);
+        let remainder = dropped.map(|revision| {
+            let failed_source = match fetching {
+                // The box already has a sender.
+                FetchStatus::InProgress => return FetchSource::RetryLater,
+                FetchStatus::Failed(source) => Some(source),
+                FetchStatus::None => None,
             };
-            let lacking = Lacking {
+            let missing = MissingChange {
                 revision,
                 bytes: bytes - changes.len(),
-                failed,
+                failed_source,
             };
             let settings = gw.settings();
-            let knowledge = gw.knowledge.borrow();
-            let halls = Halls::of(knowledge.boxes(), &settings.hall, to);
-            let is_near = |sender| halls.are_same(sender);
-            let mut spread = self.spread.borrow_mut();
-            spread.source_for(to, lacking, is_near, now)
+            let state = gw.knowledge.borrow();
+            let halls = HallLookup::of(state.boxes(), &settings.hall, to);
+            let shares_hall = |sender| halls.shares_hall(sender);
+            let mut planner = self.planner.borrow_mut();
+            planner.source_for(to, missing, shares_hall, now)
         });
         let age = gw.knowledge.borrow().age(now);
-        Told {
-            asked_micros: None,
+        HubUpdate {
+            sent_micros: None,
             age_ms: millis(age.unwrap_or(Duration::MAX)),
             revision: changes.revision,
             changes,
-            rest,
+            remainder,
         }
     }
 
-    /// Tells whether any box asked this one a short while ago.
+    /// Returns whether any box polled this one recently.
     pub fn has_recent_pollers(&self, now: Now) -> bool {
-        !self.spread.borrow_mut().askers(now).is_empty()
+        !self.planner.borrow_mut().recent_pollers(now).is_empty()
     }
 }
 
-/// The halls of boxes, as seen by one that is to fetch.
-struct Halls<'a> {
+/// The halls of boxes, from the view of a box that has to fetch.
+struct HallLookup<'a> {
     receiver: Option<&'a str>,
     hub: &'a str,
     of: HashMap<SocketAddr, &'a str>,
 }
 
-impl<'a> Halls<'a> {
+impl<'a> HallLookup<'a> {
     fn of(boxes: impl Iterator<Item = &'a BoxEntry>, hub: &'a str, receiver: SocketAddr) -> Self {
         let halls = boxes.map(|entry| (entry.address, entry.hall.as_str()));
         let of: HashMap<SocketAddr, &str> = halls.collect();
@@ -160,7 +174,7 @@
         }
     }
 
-    fn are_same(&self, sender: Option<SocketAddr>) -> bool {
+    fn shares_hall(&self, sender: Option<SocketAddr>) -> bool {
         let sender = match sender {
             Some(sender) => self.of.get(&sender).copied(),
             None => Some(self.hub),
@@ -169,63 +183,70 @@
     }
 }
 
-/// Tells the other hub and the askers of news at once, for as long as the process lives.
+/// Pushes new changes to the other hub and to recent pollers, for as long as the process lives.
 ///
-/// Boxes that have reached the same revision are told the same, unless they have to fetch, so
-/// that a change is packed and written down once and not once for each box.
-pub async fn tell_news(gw: &Gateway, send: impl AsyncFn(&[SocketAddr], Told)) {
-    let mut told_before = gw.mirror.borrow().revision();
+/// Boxes at the same revision get the same update unless they have to fetch, so that a change is
+/// packed and encoded once and not for each box.
+pub async fn push_updates(gw: &Gateway, send: impl AsyncFn(&[SocketAddr], HubUpdate)) {
+    let mut last_pushed = gw.mirror.borrow().revision();
     loop {
-        // Made before the look at the revision, so that no news in between is missed.
-        let news = gw.news.notified();
+        // Created before the revision is read, so that no change in between is missed.
+        let changed = gw.news.notified();
         let revision = gw.mirror.borrow().revision();
-        if revision == told_before {
-            news.await;
+        if revision == last_pushed {
+            changed.await;
             continue;
         }
         let now = Now::read();
-        for (reached, boxes) in told_of_news(gw, told_before, now) {
+        for (reached, boxes) in push_targets(gw, last_pushed, now) {
             if reached >= revision {
                 continue;
             }
             let Some(&first) = boxes.first() else {
                 continue;
             };
-            let told = gw.hubs.tell(gw, first, reached, Fetching::None, now);
-            if told.rest.is_none() {
-                gw.hubs.spread.borrow_mut().told(&boxes, told.revision);
-                send(&boxes, told).await;
+            let update = gw
+                .hubs
+                .build_update(gw, first, reached, FetchStatus::None, now);
+            if update.remainder.is_none() {
+                gw.hubs
+                    .planner
+                    .borrow_mut()
+                    .record_sent(&boxes, update.revision);
+                send(&boxes, update).await;
                 continue;
             }
-            send(&[first], told).await;
+            send(&[first], update).await;
             for address in &boxes[1..] {
-                let told = gw.hubs.tell(gw, *address, reached, Fetching::None, now);
-                send(&[*address], told).await;
+                let update = gw
+                    .hubs
+                    .build_update(gw, *address, reached, FetchStatus::None, now);
+                send(&[*address], update).await;
             }
         }
-        told_before = revision;
+        last_pushed = revision;
     }
 }
 
-/// Returns the boxes that are told of news, by the revision that they have reached.
-fn told_of_news(gw: &Gateway, told_before: u64, now: Now) -> BTreeMap<u64, Vec<SocketAddr>> {
-    let askers = gw.hubs.spread.borrow_mut().askers(now);
-    let mut told: BTreeMap<u64, Vec<SocketAddr>> = BTreeMap::new();
-    for (address, reached) in &askers {
-        told.entry(*reached).or_default().push(*address);
+/// Returns the boxes to push changes to, by the revision that they have reached.
+fn push_targets(gw: &Gateway, last_pushed: u64, now: Now) -> BTreeMap<u64, Vec<SocketAddr>> {
+    let pollers = gw.hubs.planner.borrow_mut().recent_pollers(now);
+    let mut targets: BTreeMap<u64, Vec<SocketAddr>> = BTreeMap::new();
+    for (address, reached) in &pollers {
+        targets.entry(*reached).or_default().push(*address);
     }
     if !gw.is_hub() {
-        return told;
+        return targets;
     }
-    // Hubs ask nobody while they reach the store, and the one with the wider link has a
-    // large change long before the other.
+    // Hubs do not poll while they reach the store, and the hub with the wider link has a large
+    // change long before the other one.
     let own = gw.settings().peers;
-    let knowledge = gw.knowledge.borrow();
-    for hub in choose_hubs(knowledge.boxes()) {
-        let is_told = askers.iter().any(|(address, _)| *address == hub.address);
-        if hub.address != own && !is_told {
-            told.entry(told_before).or_default().push(hub.address);
+    let state = gw.knowledge.borrow();
+    for hub in choose_hubs(state.boxes()) {
+        let is_included = pollers.iter().any(|(address, _)| *address == hub.address);
+        if hub.address != own && !is_included {
+            targets.entry(last_pushed).or_default().push(hub.address);
         }
     }
-    told
+    targets
 }
--- a/src/gateway/peers/leaving_upstreams.rs
+++ b/src/gateway/peers/leaving_upstreams.rs
@@ -1,7 +1,7 @@
-//! Tells the other boxes which upstreams have said in an answer that they leave.
+//! Tells the other boxes which upstreams have announced in an answer that they leave.
 //!
-//! The store may take long to hear it, and a box that has not asked such an upstream would send it
-//! requests that its end cuts off.
+//! The store may learn this late, and a box that sent the upstream no request itself would keep
+//! sending it requests that are cut off when it ends.
 
 use crate::clock::Now;
 use crate::gateway::Gateway;
@@ -10,30 +10,31 @@
 use std::rc::Rc;
 
 impl Gateway {
-    /// Records that an upstream has said that it leaves, and has the other boxes told.
+    /// Records that an upstream has announced that it leaves, and queues the announcement for the
+    /// other boxes.
     pub fn note_upstream_leaving(&self, upstream: &Upstream, now: Now) {
-        let mut knowledge = self.knowledge.borrow_mut();
-        if knowledge.note_leaving(upstream.life(), now) {
+        let mut state = self.knowledge.borrow_mut();
+        if state.record_leaving(upstream.life(), now) {
             self.telemetry.upstream_leaves(upstream, "answer");
             self.leaving.push(upstream.short_hash());
         }
     }
 
-    /// Takes the word of another box on upstreams that leave, by their hashes.
-    pub fn take_leaving(&self, hashes: &[u32], now: Now) {
-        let mut knowledge = self.knowledge.borrow_mut();
+    /// Applies another box's report of leaving upstreams, given by their hashes.
+    pub fn apply_leaving_report(&self, hashes: &[u32], now: Now) {
+        let mut state = self.knowledge.borrow_mut();
         let is_named = |upstream: &&Rc<Upstream>| hashes.contains(&upstream.short_hash());
-        let named: Vec<Rc<Upstream>> = knowledge.upstreams().filter(is_named).cloned().collect();
+        let named: Vec<Rc<Upstream>> = state.upstreams().filter(is_named).cloned().collect();
         for upstream in named {
-            if knowledge.note_leaving(upstream.life(), now) {
+            if state.record_leaving(upstream.life(), now) {
                 self.telemetry.upstream_leaves(&upstream, "box");
             }
         }
     }
 }
 
-/// Tells all other boxes at once, for as long as the process lives.
-pub async fn tell_leaving(gw: &Gateway, send: impl AsyncFn(&[SocketAddr], Vec<u32>)) {
+/// Broadcasts announcements to all other boxes, for as long as the process lives.
+pub async fn broadcast_leaving(gw: &Gateway, send: impl AsyncFn(&[SocketAddr], Vec<u32>)) {
     loop {
         let hashes = gw.leaving.next().await;
         let others = gw.other_boxes();
--- a/src/gateway/peers/liveness.rs
+++ b/src/gateway/peers/liveness.rs
@@ -1,4 +1,4 @@
-//! When each other box was last heard of.
+//! Tracks when the last message from each other box arrived.
 
 use crate::clock::Now;
 use crate::gateway::control::store::BoxEntry;
@@ -7,45 +7,45 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a box of which nothing is heard is taken to be there: several reports of load of a
-/// small fleet, and a pause that a busy machine makes. Its registration lasts eight seconds.
-const LIFETIME: Duration = Duration::from_millis(1500);
-/// The same in reports of load, whose interval grows with the fleet.
-const LIFETIME_INTERVALS: u32 = 3;
+/// How long a box without messages is considered alive, at least: several load reports of a small
+/// fleet, and a pause of a busy machine. Its registration lasts eight seconds.
+const MIN_LIVENESS_TIMEOUT: Duration = Duration::from_millis(1500);
+/// The same as a number of load report intervals, which grow with the fleet.
+const LIVENESS_TIMEOUT_REPORTS: u32 = 3;
 
-/// Returns how long a box of which nothing is heard is taken to be there, among so many.
-fn patience(boxes: usize) -> Duration {
-    LIFETIME.max(interval(boxes) * LIFETIME_INTERVALS)
+/// Returns how long a box without messages is considered alive in a fleet of this size.
+fn liveness_timeout(boxes: usize) -> Duration {
+    MIN_LIVENESS_TIMEOUT.max(interval(boxes) * LIVENESS_TIMEOUT_REPORTS)
 }
 
-/// The moments at which something came from each box. A box that was killed, paused or cut off
-/// stays registered for seconds; that nothing comes from it shows sooner.
+/// The time of the last message from each box. A box that was killed, paused or cut off stays
+/// registered for seconds; missing messages show this sooner.
 #[derive(Debug, Default)]
 pub struct PeerLiveness(HashMap<SocketAddr, Duration>);
 
 impl PeerLiveness {
-    /// Returns which boxes, in their order, are this one or were heard of lately.
-    pub fn lively<'a>(
+    /// Returns the boxes, in the given order, that are this box or have sent a message recently.
+    pub fn live_boxes<'a>(
         &self,
         boxes: &[&'a BoxEntry],
         own: SocketAddr,
         now: Now,
     ) -> Vec<&'a BoxEntry> {
-        let patience = patience(boxes.len());
-        let is_lively = |entry: &&&BoxEntry| {
-            entry.address == own || self.is_heard(entry.address, patience, now)
+        let liveness_timeout = liveness_timeout(boxes.len());
+        let is_live = |entry: &&&BoxEntry| {
+            entry.address == own || self.is_live(entry.address, liveness_timeout, now)
         };
-        boxes.iter().filter(is_lively).copied().collect()
+        boxes.iter().filter(is_live).copied().collect()
     }
 
-    /// Records that something came from a box.
-    pub fn hear(&mut self, from: SocketAddr, now: Now) {
+    /// Records a message from a box.
+    pub fn record_message(&mut self, from: SocketAddr, now: Now) {
         self.0.insert(from, now.monotonic);
     }
 
-    /// Tells whether something came from a box of late.
-    fn is_heard(&self, from: SocketAddr, patience: Duration, now: Now) -> bool {
-        let heard = self.0.get(&from);
-        heard.is_some_and(|at| now.monotonic.saturating_sub(*at) <= patience)
+    /// Returns whether a box has sent a message within the timeout.
+    fn is_live(&self, from: SocketAddr, liveness_timeout: Duration, now: Now) -> bool {
+        let last_message = self.0.get(&from);
+        last_message.is_some_and(|at| now.monotonic.saturating_sub(*at) <= liveness_timeout)
     }
 }
