--- a/src/gateway/peers/messages.rs
+++ b/src/gateway/peers/messages.rs
@@ -1,31 +1,31 @@
-//! What boxes tell each other.
+//! Messages between boxes:
 //!
-//! - What the store holds, as [`super::hubs`] explains.
-//! - What each has under way at which upstream, so that placement sees all boxes' load.
-//! - Which long reads each begins, at once: a report of load comes too late for those.
-//! - How the versions under roll-out answered; this goes to the boxes registered longest, of
-//!   all and of the own hall, that are heard of.
-//! - Which versions a box found bad; this goes to all.
-//! - Which upstreams have said in an answer that they leave; this goes to all.
-//! - Which requests were at crashes of upstreams; this goes to all.
-//! - Which sessions the old version served just before a roll-out, so that no box moves
-//!   them in its first half.
+//! - The store's contents, see [`super::hubs`].
+//! - The load that each box has at each upstream, so that placement sees the load of all boxes.
+//! - Long reads as soon as they begin, since a load report comes too late for those.
+//! - Counts of answers by version during a roll-out, sent to the live boxes registered longest, of
+//!   the whole fleet and of the own hall.
+//! - Versions that a box found bad, sent to all.
+//! - Upstreams that have announced in an answer that they leave, sent to all.
+//! - Requests that were running at upstreams when those crashed, sent to all.
+//! - Sessions that the old version served just before a roll-out, so that no box moves them in the
+//!   first half of the roll-out.
 //!
-//! Every message replaces or adds to what the sender said before, so one that is lost,
-//! late or doubled does no harm; that is why these are datagrams and not h2 streams.
-//! See `docs/design/platform.md`.
+//! Each message replaces or extends what the sender sent before, so a lost, late or duplicated
+//! message does no harm; therefore these are datagrams and not h2 streams. See
+//! `docs/design/platform.md`.
 
 use super::datagram;
 use super::fetch;
 use super::hub_poller;
-use super::hubs::{self, Question, Told};
+use super::hubs::{self, HubUpdate, PollRequest};
 use super::leaving_upstreams;
 use super::suspects;
 use crate::clock::{Now, millis};
 use crate::error::{Error, Result};
 use crate::gateway::Gateway;
 use crate::gateway::attempt::quarantine::SuspectNews;
-use crate::gateway::control::membership::leads;
+use crate::gateway::control::membership::is_leader;
 use crate::gateway::control::rollout::Rollout;
 use crate::gateway::control::store::{ControlStore, RolloutOrder};
 use crate::gateway::place::loads::{BoxLoad, LongRead, interval};
@@ -37,57 +37,57 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::time::sleep;
 
-/// The time between two reports while a version is under roll-out.
+/// The time between two reports while a roll-out is running.
 const REPORT_INTERVAL: Duration = Duration::from_millis(400);
-/// Boxes that are told of versions: the leading one and the one that would lead next.
-const TOLD_BOXES: usize = 2;
-/// Boxes that are told of a long read, so that what each gets does not grow with their
-/// number; where there are more, a part of them in turn.
-const TOLD_OF_READS: usize = 96;
-/// The largest datagram; what a box has under way at a hundred upstreams takes two
-/// kilobytes.
-const DATAGRAM_BYTES: usize = 32 * 1024;
+/// The number of boxes that receive version reports: the leader and the standby.
+const VERSION_REPORT_RECEIVERS: usize = 2;
+/// The most boxes that are told of a long read, so that the messages per box do not grow with the
+/// fleet; in a larger fleet, a rotating subset is told.
+const MAX_LONG_READ_RECEIVERS: usize = 96;
+/// The largest datagram. A load report for a hundred upstreams takes two kilobytes.
+const MAX_DATAGRAM_BYTES: usize = 32 * 1024;
 
 /// A message between boxes.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 enum PeerMessage {
-    /// The sender's own counts of the versions under one roll-out.
-    Counts(Report),
-    /// The sender found the target of this order bad; the number is the order's revision.
-    FoundBad(u64),
-    /// So many milliseconds ago this order was given, as far as the sender knows.
-    RolloutTime(u64, u64),
-    /// What the sender has under way.
+    /// The sender's own counts of the versions in one roll-out.
+    VersionCounts(Report),
+    /// The sender found the target of this order bad; contains the order's revision.
+    VersionFoundBad(u64),
+    /// The revision of an order and the milliseconds since it was given, as far as the sender
+    /// knows.
+    RolloutElapsed(u64, u64),
+    /// The load that the sender has at each upstream.
     Load(BoxLoad),
-    /// The sender asks what the store holds.
-    Question(Question),
-    /// What the store holds.
-    Told(Told),
-    /// Sessions that the old version of a service serves: the order's revision in the
-    /// store, and the sessions' hashes.
+    /// A poll for the store's contents.
+    Poll(PollRequest),
+    /// Changes of the store's contents.
+    HubUpdate(HubUpdate),
+    /// Sessions served by the old version of a service: the order's store revision and the hashes
+    /// of the sessions.
     OldSessions(u64, Vec<u64>),
-    /// The sender begins long reads.
+    /// Long reads that the sender begins.
     LongReads(Vec<LongRead>),
-    /// What the sender knows of requests that were at crashes.
+    /// Requests that the sender knows to have been running at crashes.
     Suspects(SuspectNews),
-    /// Upstreams have said that they leave, by their hashes.
+    /// Upstreams that have announced that they leave, by their hashes.
     Leaving(Vec<u32>),
 }
 
-/// Exchanges messages for as long as the process lives.
+/// Exchanges messages with other boxes for as long as the process lives.
 pub async fn exchange(gw: Rc<Gateway>, store: Rc<dyn ControlStore>) -> Result<()> {
     let address = gw.settings().peers;
     let error = |err| Error::Unreachable(format!("cannot listen on {address}: {err}"));
     let socket = UdpSocket::bind(address).await.map_err(error)?;
     let listener = TcpListener::bind(address).await.map_err(error)?;
-    let send_question = async |to, question| {
-        send(&gw, &socket, &PeerMessage::Question(question), &[to]).await;
+    let send_poll = async |to, poll| {
+        send(&gw, &socket, &PeerMessage::Poll(poll), &[to]).await;
     };
-    let send_told = async |to: &[SocketAddr], told| {
-        send(&gw, &socket, &PeerMessage::Told(told), to).await;
+    let send_update = async |to: &[SocketAddr], update| {
+        send(&gw, &socket, &PeerMessage::HubUpdate(update), to).await;
     };
-    let send_suspects = async |to: &[SocketAddr], news| {
-        send(&gw, &socket, &PeerMessage::Suspects(news), to).await;
+    let send_suspects = async |to: &[SocketAddr], update| {
+        send(&gw, &socket, &PeerMessage::Suspects(update), to).await;
     };
     let send_leaving = async |to: &[SocketAddr], hashes| {
         send(&gw, &socket, &PeerMessage::Leaving(hashes), to).await;
@@ -96,37 +96,37 @@
         receive(&gw, &store, &socket),
         report_versions(&gw, &socket),
         report_load(&gw, &socket),
-        tell_long_reads(&gw, &socket),
-        hub_poller::ask(&gw, send_question),
-        hubs::tell_news(&gw, send_told),
-        suspects::tell_suspects(&gw, send_suspects),
-        leaving_upstreams::tell_leaving(&gw, send_leaving),
+        broadcast_long_reads(&gw, &socket),
+        hub_poller::poll_hubs(&gw, send_poll),
+        hubs::push_updates(&gw, send_update),
+        suspects::share_suspects(&gw, send_suspects),
+        leaving_upstreams::broadcast_leaving(&gw, send_leaving),
         fetch::serve_fetches(gw.clone(), listener),
     );
     Ok(())
 }
 
 async fn receive(gw: &Rc<Gateway>, store: &Rc<dyn ControlStore>, socket: &UdpSocket) {
-    let mut buf = vec![0; DATAGRAM_BYTES];
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         match socket.recv_from(&mut buf).await {
             Ok((len, from)) => {
                 let datagram = buf.get(..len).unwrap_or_default();
-                gw.heard.borrow_mut().hear(from, Now::read());
-                match datagram::read::<PeerMessage>(datagram) {
-                    Ok(message) => take(gw, store, socket, message, from).await,
-                    Err(err) => log::warn!("a datagram from {from} cannot be read: {err}"),
+                gw.heard.borrow_mut().record_message(from, Now::read());
+                match datagram::decode::<PeerMessage>(datagram) {
+                    Ok(message) => handle_message(gw, store, socket, message, from).await,
+                    Err(err) => log::warn!("cannot decode a datagram from {from}: {err}"),
                 }
             }
             Err(err) => {
-                log::debug!("no datagram could be read: {err}");
+                log::debug!("cannot receive a datagram: {err}");
                 sleep(REPORT_INTERVAL).await;
             }
         }
     }
 }
 
-async fn take(
+async fn handle_message(
     gw: &Rc<Gateway>,
     store: &Rc<dyn ControlStore>,
     socket: &UdpSocket,
@@ -135,60 +135,60 @@
 ) {
     let now = Now::read();
     match message {
-        PeerMessage::Counts(report) => gw.versions.borrow_mut().take(report),
-        PeerMessage::RolloutTime(order, elapsed_ms) => {
+        PeerMessage::VersionCounts(report) => gw.versions.borrow_mut().take(report),
+        PeerMessage::RolloutElapsed(order, elapsed_ms) => {
             let elapsed = Duration::from_millis(elapsed_ms);
             gw.knowledge
                 .borrow_mut()
                 .apply_reported_elapsed(order, elapsed, now);
         }
-        PeerMessage::FoundBad(order) => gw.take_finding(order, &from.to_string()),
+        PeerMessage::VersionFoundBad(order) => gw.take_finding(order, &from.to_string()),
         PeerMessage::Load(load) => gw.loads.borrow_mut().take(load, now),
         PeerMessage::LongReads(reads) => {
-            let knowledge = gw.knowledge.borrow();
+            let state = gw.knowledge.borrow();
             let mut loads = gw.loads.borrow_mut();
             for read in reads {
-                loads.take_long_read(read, &knowledge, now);
+                loads.take_long_read(read, &state, now);
             }
         }
-        PeerMessage::Suspects(news) => gw.quarantine.take(news, now),
-        PeerMessage::Leaving(hashes) => gw.take_leaving(&hashes, now),
+        PeerMessage::Suspects(update) => gw.quarantine.take(update, now),
+        PeerMessage::Leaving(hashes) => gw.apply_leaving_report(&hashes, now),
         PeerMessage::OldSessions(order, sessions) => {
             gw.sessions.borrow_mut().keep_old(order, &sessions);
         }
-        PeerMessage::Question(question) => {
-            let told = gw.hubs.answer(gw, question, from, now);
-            send(gw, socket, &PeerMessage::Told(told), &[from]).await;
+        PeerMessage::Poll(poll) => {
+            let update = gw.hubs.handle_poll(gw, poll, from, now);
+            send(gw, socket, &PeerMessage::HubUpdate(update), &[from]).await;
         }
-        PeerMessage::Told(told) => {
-            hub_poller::take_told(gw, store, told, from);
+        PeerMessage::HubUpdate(update) => {
+            hub_poller::apply_hub_update(gw, store, update, from);
         }
     }
 }
 
 impl PeerMessage {
-    /// Returns what the message is for, as the metrics name it.
+    /// Returns the purpose of the message, as used as a label in metrics.
     fn purpose(&self) -> &'static str {
         match self {
-            Self::Counts(_) => "version-counts",
-            Self::FoundBad(_) => "versions-found-bad",
-            Self::RolloutTime(..) => "roll-out-times",
+            Self::VersionCounts(_) => "version-counts",
+            Self::VersionFoundBad(_) => "versions-found-bad",
+            Self::RolloutElapsed(..) => "roll-out-times",
             Self::Load(_) => "load",
             Self::LongReads(_) => "long-reads",
             Self::Suspects(_) => "suspects",
             Self::Leaving(_) => "leaving",
             Self::OldSessions(..) => "old-sessions",
-            Self::Question(_) => "questions",
-            Self::Told(_) => "told",
+            Self::Poll(_) => "questions",
+            Self::HubUpdate(_) => "told",
         }
     }
 }
 
 async fn send(gw: &Gateway, socket: &UdpSocket, message: &PeerMessage, to: &[SocketAddr]) {
-    let datagram = match datagram::write(message) {
+    let datagram = match datagram::encode(message) {
         Ok(datagram) => datagram,
         Err(err) => {
-            log::error!("a message to other boxes cannot be encoded: {err}");
+            log::error!("cannot encode a message to other boxes: {err}");
             return;
         }
     };
@@ -196,32 +196,33 @@
         .told_boxes(message.purpose(), datagram.len() * to.len());
     for address in to {
         if let Err(err) = socket.send_to(&datagram, address).await {
-            log::debug!("a message cannot be sent to {address}: {err}");
+            log::debug!("cannot send a message to {address}: {err}");
         }
     }
 }
 
-/// Tells how versions under roll-out answer, and which sessions must not move.
+/// Reports counts and findings of versions under roll-out, and sessions that must not move.
 async fn report_versions(gw: &Gateway, socket: &UdpSocket) {
     loop {
         sleep(REPORT_INTERVAL).await;
         gw.judge_versions(Now::read());
         let reports = gw.versions.borrow_mut().reports(Now::read());
         for report in reports {
-            let told = told_of_versions(gw, Now::read());
-            send(gw, socket, &PeerMessage::Counts(report), &told).await;
+            let receivers = version_report_receivers(gw, Now::read());
+            send(gw, socket, &PeerMessage::VersionCounts(report), &receivers).await;
         }
-        for (order, elapsed_ms) in rollout_times(gw, Now::read()) {
-            let message = PeerMessage::RolloutTime(order, elapsed_ms);
-            // Whoever leads hears it from all, and all from whoever leads.
-            let told = match leads(gw, Now::read()) {
+        for (order, elapsed_ms) in running_rollout_times(gw, Now::read()) {
+            let message = PeerMessage::RolloutElapsed(order, elapsed_ms);
+            // The leader receives the elapsed time from all boxes, and all boxes receive it from
+            // the leader.
+            let receivers = match is_leader(gw, Now::read()) {
                 true => gw.other_boxes(),
-                false => told_of_versions(gw, Now::read()),
+                false => version_report_receivers(gw, Now::read()),
             };
-            send(gw, socket, &message, &told).await;
+            send(gw, socket, &message, &receivers).await;
         }
-        for order in found_here(gw) {
-            let message = PeerMessage::FoundBad(order);
+        for order in rollouts_found_bad_here(gw) {
+            let message = PeerMessage::VersionFoundBad(order);
             send(gw, socket, &message, &gw.other_boxes()).await;
         }
         for (order, sessions) in old_sessions(gw, Now::read()) {
@@ -231,22 +232,22 @@
     }
 }
 
-/// Returns the orders under way whose targets this box found bad: the others are told until the
-/// leading box has written it down and everybody knows it by the store.
-fn found_here(gw: &Gateway) -> Vec<u64> {
-    let knowledge = gw.knowledge.borrow();
+/// Returns the running orders whose targets this box found bad. The others are told until the
+/// leader has recorded it and everybody knows it from the store.
+fn rollouts_found_bad_here(gw: &Gateway) -> Vec<u64> {
+    let state = gw.knowledge.borrow();
     let mut found = gw.versions.borrow().found_here();
     found.retain(|revision| {
-        let mut orders = knowledge.rollouts_under_way().map(|(order, _)| order);
+        let mut orders = state.running_rollouts().map(|(order, _)| order);
         orders.any(|order| order.revision == *revision)
     });
     found
 }
 
-/// Returns how many milliseconds ago each order under way was given, as far as this box knows.
-fn rollout_times(gw: &Gateway, now: Now) -> Vec<(u64, u64)> {
-    let knowledge = gw.knowledge.borrow();
-    let rollouts = knowledge.rollouts_under_way();
+/// Returns the milliseconds since each running order was given, as far as this box knows.
+fn running_rollout_times(gw: &Gateway, now: Now) -> Vec<(u64, u64)> {
+    let state = gw.knowledge.borrow();
+    let rollouts = state.running_rollouts();
     let time = |(order, rollout): (&RolloutOrder, &Rollout)| {
         let elapsed = rollout.elapsed(now)?;
         Some((order.revision, millis(elapsed)))
@@ -254,39 +255,43 @@
     rollouts.filter_map(time).collect()
 }
 
-/// Returns the boxes that are told of versions: those registered longest of all, and of the own
-/// hall, which may be cut off from the rest. Boxes that nothing was heard of for a while are
-/// left out: their registration outlasts them by seconds.
-fn told_of_versions(gw: &Gateway, now: Now) -> Vec<SocketAddr> {
+/// Returns the boxes that receive version reports: those registered longest in the fleet, and the
+/// one registered longest in the own hall, which may be cut off from the rest. Boxes that have sent
+/// nothing for a while are left out, since their registration outlasts them by seconds.
+fn version_report_receivers(gw: &Gateway, now: Now) -> Vec<SocketAddr> {
     let settings = gw.settings();
-    let knowledge = gw.knowledge.borrow();
-    let boxes = knowledge.boxes_by_registration();
-    let heard = gw.heard.borrow();
-    let mut lively = heard.lively(&boxes, settings.peers, now);
-    lively.retain(|entry| entry.address != settings.peers);
-    let of_hall = lively.iter().find(|entry| entry.hall == settings.hall);
-    let mut told: Vec<SocketAddr> = lively
+    let state = gw.knowledge.borrow();
+    let boxes = state.boxes_by_registration();
+    let liveness = gw.heard.borrow();
+    let mut live = liveness.live_boxes(&boxes, settings.peers, now);
+    live.retain(|entry| entry.address != settings.peers);
+    let in_hall = live.iter().find(|entry| entry.hall == settings.hall);
+    let mut receivers: Vec<SocketAddr> = live
         .iter()
-        .take(TOLD_BOXES)
+        .take(VERSION_REPORT_RECEIVERS)
         .map(|entry| entry.address)
         .collect();
-    if let Some(entry) = of_hall
-        && !told.contains(&entry.address)
+    if let Some(entry) = in_hall
+        && !receivers.contains(&entry.address)
     {
-        told.push(entry.address);
+        receivers.push(entry.address);
     }
-    match told.is_empty() {
-        true => gw.other_boxes().into_iter().take(TOLD_BOXES).collect(),
-        false => told,
+    match receivers.is_empty() {
+        true => gw
+            .other_boxes()
+            .into_iter()
+            .take(VERSION_REPORT_RECEIVERS)
+            .collect(),
+        false => receivers,
     }
 }
 
 /// Returns the sessions that this box knows to be served by an old version, by order.
 fn old_sessions(gw: &Gateway, now: Now) -> Vec<(u64, Vec<u64>)> {
-    let knowledge = gw.knowledge.borrow();
+    let state = gw.knowledge.borrow();
     let mut sessions = gw.sessions.borrow_mut();
     let mut found = Vec::new();
-    for rollout in knowledge.rollouts().values() {
+    for rollout in state.rollouts().values() {
         if let Some((order, seen)) = &rollout.order
             && now.monotonic.saturating_sub(*seen) < order.duration / 2
         {
@@ -298,7 +303,7 @@
     found
 }
 
-/// Tells the other boxes what this one has under way, as often as their number allows.
+/// Reports this box's load to the other boxes, at an interval that grows with the fleet.
 async fn report_load(gw: &Gateway, socket: &UdpSocket) {
     let mut was_idle = true;
     loop {
@@ -306,35 +311,39 @@
         sleep(interval(others.len())).await;
         let load = BoxLoad::of(&gw.life, &gw.knowledge.borrow());
         let is_idle = load.is_idle();
-        // While a version is under trial, a silent box is taken for one that is gone.
-        let has_trial = gw.knowledge.borrow().has_rollout();
+        // During a trial of a version, a silent box is considered dead, so idle boxes report too.
+        let has_trial = gw.knowledge.borrow().has_running_rollout();
         if !(is_idle && was_idle) || has_trial {
             send(gw, socket, &PeerMessage::Load(load), &others).await;
         }
         was_idle = is_idle;
         let now = Now::read();
-        let knowledge = gw.knowledge.borrow();
-        gw.loads.borrow_mut().spread(&knowledge, now);
+        let state = gw.knowledge.borrow();
+        gw.loads.borrow_mut().spread(&state, now);
     }
 }
 
-/// Tells the other boxes at once of each long read that this one begins.
-async fn tell_long_reads(gw: &Gateway, socket: &UdpSocket) {
-    let mut turn = 0;
+/// Tells other boxes at once of each long read that this box begins.
+async fn broadcast_long_reads(gw: &Gateway, socket: &UdpSocket) {
+    let mut offset = 0;
     loop {
         let reads = gw.long_reads.next().await;
-        let others = in_turn(gw.other_boxes(), TOLD_OF_READS, &mut turn);
+        let others = rotating_subset(gw.other_boxes(), MAX_LONG_READ_RECEIVERS, &mut offset);
         send(gw, socket, &PeerMessage::LongReads(reads), &others).await;
     }
 }
 
-/// Returns so many of some boxes, beginning where the last turn ended.
-pub fn in_turn(mut boxes: Vec<SocketAddr>, most: usize, turn: &mut usize) -> Vec<SocketAddr> {
-    if boxes.len() > most {
-        let start = *turn % boxes.len();
+/// Returns at most `max` boxes, starting where the previous call ended.
+pub fn rotating_subset(
+    mut boxes: Vec<SocketAddr>,
+    max: usize,
+    offset: &mut usize,
+) -> Vec<SocketAddr> {
+    if boxes.len() > max {
+        let start = *offset % boxes.len();
         boxes.rotate_left(start);
-        boxes.truncate(most);
-        *turn = start + most;
+        boxes.truncate(max);
+        *offset = start + max;
     }
     boxes
 }
--- a/src/gateway/peers/outbox.rs
+++ b/src/gateway/peers/outbox.rs
@@ -1,48 +1,48 @@
-//! News that wait to be told to other boxes.
+//! A bounded queue of updates to be sent to other boxes.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use tokio::sync::Notify;
 
-/// The most news that wait. A box tells them within milliseconds; where it has no way to others
-/// they would pile up, and the newest are those that still matter.
-const MOST_UNTOLD: usize = 256;
+/// The most updates queued. They are normally sent within milliseconds; without a connection to
+/// other boxes they would pile up, and only the newest still matter.
+const MAX_PENDING: usize = 256;
 
-/// News that this box has still to tell, oldest first.
+/// The updates still to be sent, oldest first.
 #[derive(Debug)]
 pub struct Outbox<T> {
-    untold: RefCell<VecDeque<T>>,
-    rung: Notify,
+    pending: RefCell<VecDeque<T>>,
+    added: Notify,
 }
 
 impl<T> Default for Outbox<T> {
     fn default() -> Self {
         Self {
-            untold: RefCell::default(),
-            rung: Notify::new(),
+            pending: RefCell::default(),
+            added: Notify::new(),
         }
     }
 }
 
 impl<T> Outbox<T> {
-    /// Adds news; the oldest give way where too many wait.
-    pub fn push(&self, news: T) {
-        let mut untold = self.untold.borrow_mut();
-        if untold.len() == MOST_UNTOLD {
-            untold.pop_front();
+    /// Queues an update; drops the oldest one if the queue is full.
+    pub fn push(&self, item: T) {
+        let mut pending = self.pending.borrow_mut();
+        if pending.len() == MAX_PENDING {
+            pending.pop_front();
         }
-        untold.push_back(news);
-        self.rung.notify_one();
+        pending.push_back(item);
+        self.added.notify_one();
     }
 
-    /// Waits for news to tell.
+    /// Waits for updates and takes all queued ones.
     pub async fn next(&self) -> Vec<T> {
         loop {
-            let untold = self.untold.take();
-            if !untold.is_empty() {
-                return untold.into();
+            let pending = self.pending.take();
+            if !pending.is_empty() {
+                return pending.into();
             }
-            self.rung.notified().await;
+            self.added.notified().await;
         }
     }
 }
--- a/src/gateway/peers/suspects.rs
+++ b/src/gateway/peers/suspects.rs
@@ -1,7 +1,7 @@
-//! Tells the other boxes which requests were at crashes of upstreams.
+//! Tells the other boxes which requests were running at upstreams when those crashed.
 //!
-//! News go to all boxes at once. Beside that each box tells all that it knows to one other in turn,
-//! so that boxes which were restarted, have joined or were cut off learn it too.
+//! New records are broadcast to all boxes at once. In addition, each box sends all its records to
+//! one other box in turn, so that boxes that restarted, joined or were cut off receive them too.
 
 use crate::clock::Now;
 use crate::crash_ledger::CrashRecord;
@@ -12,75 +12,79 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The time between two boxes that are told all: with as many boxes telling as there are to tell,
-/// each hears from another one about so often.
-const ROUND_INTERVAL: Duration = Duration::from_millis(300);
+/// The time between two boxes that are sent all records. As all boxes do this, each box receives a
+/// full set from another one about once per interval.
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(300);
 /// The most records in one datagram.
-const RECORDS_PER_DATAGRAM: usize = 100;
+const MAX_RECORDS_PER_DATAGRAM: usize = 100;
 
-/// Tells what this box sees and knows, for as long as the process lives.
-pub async fn tell_suspects(gw: &Gateway, send: impl AsyncFn(&[SocketAddr], SuspectNews)) {
-    tokio::join!(tell_news(gw, &send), tell_all_in_turn(gw, &send));
+/// Sends new and known records to other boxes, for as long as the process lives.
+pub async fn share_suspects(gw: &Gateway, send: impl AsyncFn(&[SocketAddr], SuspectNews)) {
+    tokio::join!(
+        broadcast_new_records(gw, &send),
+        gossip_all_records(gw, &send)
+    );
 }
 
-async fn tell_news(gw: &Gateway, send: &impl AsyncFn(&[SocketAddr], SuspectNews)) {
+async fn broadcast_new_records(gw: &Gateway, send: &impl AsyncFn(&[SocketAddr], SuspectNews)) {
     loop {
-        let news = gw.quarantine.news.next().await;
+        let updates = gw.quarantine.news.next().await;
         let others = gw.other_boxes();
-        for news in batch(news) {
-            send(&others, news).await;
+        for update in batch(updates) {
+            send(&others, update).await;
         }
     }
 }
 
-/// Joins records, so that what ran at one crashed upstream goes out together.
-fn batch(news: Vec<SuspectNews>) -> Vec<SuspectNews> {
+/// Merges records, so that requests that ran at one crashed upstream are sent together.
+fn batch(updates: Vec<SuspectNews>) -> Vec<SuspectNews> {
     let mut records: Vec<CrashRecord> = Vec::new();
     let mut batched = Vec::new();
-    for news in news {
-        match news {
+    for update in updates {
+        match update {
             SuspectNews::Records(more) => records.extend(more),
-            SuspectNews::TrialBegan(_) | SuspectNews::TrialEnded(_) => batched.push(news),
+            SuspectNews::TrialBegan(_) | SuspectNews::TrialEnded(_) => batched.push(update),
         }
     }
-    let parts = records.chunks(RECORDS_PER_DATAGRAM);
+    let parts = records.chunks(MAX_RECORDS_PER_DATAGRAM);
     batched.extend(parts.map(|part| SuspectNews::Records(part.to_vec())));
     batched
 }
 
-async fn tell_all_in_turn(gw: &Gateway, send: &impl AsyncFn(&[SocketAddr], SuspectNews)) {
+async fn gossip_all_records(gw: &Gateway, send: &impl AsyncFn(&[SocketAddr], SuspectNews)) {
     let mut known = HashSet::new();
-    let mut turn = own_place(gw);
+    let mut next_peer = initial_offset(gw);
     loop {
-        sleep(ROUND_INTERVAL).await;
+        sleep(GOSSIP_INTERVAL).await;
         let joined = newly_registered(gw, &mut known);
         let records = gw.quarantine.to_tell(Now::read());
         let others = gw.other_boxes();
         if records.is_empty() || others.is_empty() {
             continue;
         }
-        turn = (turn + 1) % others.len();
-        let mut told = joined;
-        told.push(others[turn]);
-        for part in records.chunks(RECORDS_PER_DATAGRAM) {
-            send(&told, SuspectNews::Records(part.to_vec())).await;
+        next_peer = (next_peer + 1) % others.len();
+        let mut receivers = joined;
+        receivers.push(others[next_peer]);
+        for part in records.chunks(MAX_RECORDS_PER_DATAGRAM) {
+            send(&receivers, SuspectNews::Records(part.to_vec())).await;
         }
     }
 }
 
-/// Returns where this box begins its turns, so that not all boxes tell the same one.
-fn own_place(gw: &Gateway) -> usize {
+/// Returns the offset at which this box starts its rounds, so that not all boxes send to the same
+/// one.
+fn initial_offset(gw: &Gateway) -> usize {
     usize::from(gw.settings().peers.port()) + gw.life.bytes().map(usize::from).sum::<usize>()
 }
 
-/// Returns the addresses of boxes that have registered since the last look.
+/// Returns the addresses of boxes that have registered since the last call.
 fn newly_registered(gw: &Gateway, known: &mut HashSet<String>) -> Vec<SocketAddr> {
     let own = gw.settings().peers;
-    let knowledge = gw.knowledge.borrow();
-    let joined = knowledge
+    let state = gw.knowledge.borrow();
+    let joined = state
         .boxes()
         .filter(|entry| entry.address != own && !known.contains(&entry.name));
     let joined = joined.map(|entry| entry.address).collect();
-    *known = knowledge.boxes().map(|entry| entry.name.clone()).collect();
+    *known = state.boxes().map(|entry| entry.name.clone()).collect();
     joined
 }
--- a/tests/gateway/datagrams.rs
+++ b/tests/gateway/datagrams.rs
@@ -2,7 +2,7 @@
 
 use super::cases;
 use gatepier::gateway::control::store::BoxEntry;
-use gatepier::gateway::peers::datagram::{read, write};
+use gatepier::gateway::peers::datagram::{decode, encode};
 use googletest::prelude::*;
 
 fn entries(count: u64) -> Vec<BoxEntry> {
@@ -22,28 +22,28 @@
 cases! {
     message_comes_out_as_it_went_in => {
         for count in [0, 1, 40] {
-            let datagram = write(&entries(count)).unwrap();
-            expect_that!(read::<Vec<BoxEntry>>(&datagram), ok(eq(&entries(count))));
+            let datagram = encode(&entries(count)).unwrap();
+            expect_that!(decode::<Vec<BoxEntry>>(&datagram), ok(eq(&entries(count))));
         }
     }
 
     messages_that_repeat_their_words_shrink => {
         let plain = bincode::serde::encode_to_vec(entries(40), bincode::config::standard());
-        let (plain, datagram) = (plain.unwrap().len(), write(&entries(40)).unwrap().len());
+        let (plain, datagram) = (plain.unwrap().len(), encode(&entries(40)).unwrap().len());
         println!("{plain} bytes plain, {datagram} as a datagram");
         expect_that!(datagram, lt(plain / 2));
     }
 
     spoilt_datagrams_are_refused => {
-        expect_that!(read::<Vec<BoxEntry>>(&[]), err(anything()));
-        expect_that!(read::<Vec<BoxEntry>>(&[9, 1, 2]), err(anything()));
-        let mut datagram = write(&entries(40)).unwrap();
+        expect_that!(decode::<Vec<BoxEntry>>(&[]), err(anything()));
+        expect_that!(decode::<Vec<BoxEntry>>(&[9, 1, 2]), err(anything()));
+        let mut datagram = encode(&entries(40)).unwrap();
         datagram.truncate(datagram.len() / 2);
-        expect_that!(read::<Vec<BoxEntry>>(&datagram), err(anything()));
+        expect_that!(decode::<Vec<BoxEntry>>(&datagram), err(anything()));
         // A few bytes that grow beyond any message.
         let bomb = zstd_of_zeros(4 * 1024 * 1024);
         expect_that!(bomb.len(), lt(1000));
-        expect_that!(read::<Vec<u8>>(&bomb), err(anything()));
+        expect_that!(decode::<Vec<u8>>(&bomb), err(anything()));
     }
 }
 
--- a/tests/gateway/fetch_planning.rs
+++ b/tests/gateway/fetch_planning.rs
@@ -5,7 +5,7 @@
 //! `gateway::peers::hubs` does; the clock is the test's.
 
 use super::{at, cases};
-use gatepier::gateway::peers::fetch_planner::{Lacking, Source, Spread};
+use gatepier::gateway::peers::fetch_planner::{FetchPlanner, FetchSource, MissingChange};
 use googletest::prelude::*;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -53,12 +53,12 @@
 fn spread(boxes: usize, bytes: usize, is_lost: impl Fn(usize) -> bool) -> Outcome {
     let hubs = [address(0), address(1)];
     let lost: Vec<SocketAddr> = (2..boxes).filter(|at| is_lost(*at)).map(address).collect();
-    let mut trackers = [Spread::default(), Spread::default()];
+    let mut trackers = [FetchPlanner::default(), FetchPlanner::default()];
     let mut boxes: HashMap<SocketAddr, Standing> = (2..boxes)
         .map(|number| (address(number), Standing::AsksAt(WAY)))
         .collect();
     let order: Vec<SocketAddr> = (2..boxes.len() + 2).map(address).collect();
-    let mut failed: HashMap<SocketAddr, Source> = HashMap::new();
+    let mut failed_sources: HashMap<SocketAddr, FetchSource> = HashMap::new();
     let mut sent: HashMap<SocketAddr, HashMap<u64, f64>> = HashMap::new();
     for millis in 0..20_000 {
         for (number, receiver) in order.iter().enumerate() {
@@ -70,17 +70,17 @@
             }
             let hub = number % 2;
             let tracker = &mut trackers[hub];
-            tracker.heard_of(*receiver, CHANGE - 1, at(millis));
-            let lacking = Lacking {
+            tracker.record_poll(*receiver, CHANGE - 1, at(millis));
+            let missing = MissingChange {
                 revision: CHANGE,
                 bytes,
-                failed: failed.remove(receiver),
+                failed_source: failed_sources.remove(receiver),
             };
-            let source = tracker.source_for(*receiver, lacking, |_| true, at(millis));
+            let source = tracker.source_for(*receiver, missing, |_| true, at(millis));
             let standing = match source {
-                Source::AskAgain => Standing::AsksAt(millis + ASK_AGAIN),
-                Source::Hub => Standing::Fetches(hubs[hub], bytes as f64),
-                Source::Other(sender) => Standing::Fetches(sender, bytes as f64),
+                FetchSource::RetryLater => Standing::AsksAt(millis + ASK_AGAIN),
+                FetchSource::Hub => Standing::Fetches(hubs[hub], bytes as f64),
+                FetchSource::Peer(sender) => Standing::Fetches(sender, bytes as f64),
             };
             boxes.insert(*receiver, standing);
         }
@@ -95,7 +95,7 @@
                 continue;
             };
             if lost.contains(&sender) && millis > 50 {
-                failed.insert(*receiver, Source::Other(sender));
+                failed_sources.insert(*receiver, FetchSource::Peer(sender));
                 // It has heard nothing for the longest silence.
                 boxes.insert(*receiver, Standing::AsksAt(millis + 500));
                 continue;
@@ -110,8 +110,8 @@
             boxes.insert(*receiver, Standing::Fetches(sender, left));
             if left <= 0.0 {
                 boxes.insert(*receiver, Standing::Has);
-                trackers[number % 2].heard_of(*receiver, CHANGE, at(millis + WAY));
-                trackers[number % 2].fetch_ended(*receiver);
+                trackers[number % 2].record_poll(*receiver, CHANGE, at(millis + WAY));
+                trackers[number % 2].record_fetch_end(*receiver);
             }
         }
         let is_done = |(address, standing): (&SocketAddr, &Standing)| {
@@ -152,35 +152,35 @@
     }
 
     box_with_much_to_send_is_given_no_more_receivers => {
-        let mut spread = Spread::default();
-        let lacking = Lacking { revision: CHANGE, bytes: WHOLE, failed: None };
-        spread.heard_of(address(1), CHANGE - 1, at(0));
-        let mut ask = |number, millis| spread.source_for(address(number), lacking, |_| true, at(millis));
-        expect_that!(ask(1, 0), eq(Source::Hub));
-        expect_that!(ask(2, 0), eq(Source::AskAgain));
+        let mut spread = FetchPlanner::default();
+        let missing = MissingChange { revision: CHANGE, bytes: WHOLE, failed_source: None };
+        spread.record_poll(address(1), CHANGE - 1, at(0));
+        let mut ask = |number, millis| spread.source_for(address(number), missing, |_| true, at(millis));
+        expect_that!(ask(1, 0), eq(FetchSource::Hub));
+        expect_that!(ask(2, 0), eq(FetchSource::RetryLater));
         // The first has not said that it is done, and is not waited for without end.
-        expect_that!(ask(2, 2000), eq(Source::Hub));
+        expect_that!(ask(2, 2000), eq(FetchSource::Hub));
     }
 
     box_is_not_sent_again_to_where_its_fetch_failed => {
-        let mut spread = Spread::default();
-        spread.heard_of(address(1), CHANGE, at(0));
-        let mut lacking = Lacking { revision: CHANGE, bytes: WHOLE, failed: None };
-        lacking.failed = Some(Source::Other(address(1)));
-        expect_that!(spread.source_for(address(2), lacking, |_| true, at(0)), eq(Source::Hub));
-        lacking.failed = Some(Source::Hub);
-        let source = spread.source_for(address(2), lacking, |_| true, at(1));
-        expect_that!(source, eq(Source::Other(address(1))));
+        let mut spread = FetchPlanner::default();
+        spread.record_poll(address(1), CHANGE, at(0));
+        let mut missing = MissingChange { revision: CHANGE, bytes: WHOLE, failed_source: None };
+        missing.failed_source = Some(FetchSource::Peer(address(1)));
+        expect_that!(spread.source_for(address(2), missing, |_| true, at(0)), eq(FetchSource::Hub));
+        missing.failed_source = Some(FetchSource::Hub);
+        let source = spread.source_for(address(2), missing, |_| true, at(1));
+        expect_that!(source, eq(FetchSource::Peer(address(1))));
     }
 
     sender_of_the_own_hall_goes_first => {
-        let mut spread = Spread::default();
+        let mut spread = FetchPlanner::default();
         for number in 1..4 {
-            spread.heard_of(address(number), CHANGE, at(0));
+            spread.record_poll(address(number), CHANGE, at(0));
         }
-        let lacking = Lacking { revision: CHANGE, bytes: WHOLE, failed: None };
+        let missing = MissingChange { revision: CHANGE, bytes: WHOLE, failed_source: None };
         let is_near = |sender| sender == Some(address(3));
-        let source = spread.source_for(address(9), lacking, is_near, at(0));
-        expect_that!(source, eq(Source::Other(address(3))));
+        let source = spread.source_for(address(9), missing, is_near, at(0));
+        expect_that!(source, eq(FetchSource::Peer(address(3))));
     }
 }
--- a/tests/gateway/freshness.rs
+++ b/tests/gateway/freshness.rs
@@ -23,8 +23,8 @@
     Update::Upstream(Box::new(listed(instance, "engine", "ikeja")))
 }
 
-fn open(knowledge: &ControlPlaneState, millis: u64) -> usize {
-    knowledge.available_upstreams("engine", at(millis)).len()
+fn open(state: &ControlPlaneState, millis: u64) -> usize {
+    state.available_upstreams("engine", at(millis)).len()
 }
 
 fn organisation() -> Organisation {
@@ -93,113 +93,113 @@
     }
 
     proof_is_the_newest_only_while_nothing_newer_is_known => {
-        let mut knowledge = ControlPlaneState::default();
-        expect_that!(knowledge.freshness(&bounds(), at(0)), eq(ConfigFreshness::Unconfirmed));
-        knowledge.confirm(at(0).monotonic);
-        expect_that!(knowledge.freshness(&bounds(), at(2700)), eq(ConfigFreshness::Current));
-        expect_that!(knowledge.freshness(&bounds(), at(2900)), eq(ConfigFreshness::KeysValid));
-        expect_that!(knowledge.freshness(&bounds(), at(4500)), eq(ConfigFreshness::Unconfirmed));
-        knowledge.confirm(at(5000).monotonic);
-        knowledge.hear_of_newer(9, at(5000));
-        expect_that!(knowledge.freshness(&bounds(), at(5100)), eq(ConfigFreshness::KeysValid));
-        knowledge.reach(8);
-        expect_that!(knowledge.freshness(&bounds(), at(5100)), eq(ConfigFreshness::KeysValid));
-        knowledge.reach(9);
-        expect_that!(knowledge.freshness(&bounds(), at(5100)), eq(ConfigFreshness::Current));
+        let mut state = ControlPlaneState::default();
+        expect_that!(state.freshness(&bounds(), at(0)), eq(ConfigFreshness::Unconfirmed));
+        state.confirm(at(0).monotonic);
+        expect_that!(state.freshness(&bounds(), at(2700)), eq(ConfigFreshness::Current));
+        expect_that!(state.freshness(&bounds(), at(2900)), eq(ConfigFreshness::KeysValid));
+        expect_that!(state.freshness(&bounds(), at(4500)), eq(ConfigFreshness::Unconfirmed));
+        state.confirm(at(5000).monotonic);
+        state.record_newer_revision(9, at(5000));
+        expect_that!(state.freshness(&bounds(), at(5100)), eq(ConfigFreshness::KeysValid));
+        state.record_reached_revision(8);
+        expect_that!(state.freshness(&bounds(), at(5100)), eq(ConfigFreshness::KeysValid));
+        state.record_reached_revision(9);
+        expect_that!(state.freshness(&bounds(), at(5100)), eq(ConfigFreshness::Current));
     }
 
     something_newer_that_does_not_come_outdates_what_is_known => {
-        let mut knowledge = ControlPlaneState::default();
+        let mut state = ControlPlaneState::default();
         for millis in (0..=2000).step_by(400) {
-            knowledge.hear_of_newer(9 + millis, at(millis));
-            knowledge.confirm(at(millis).monotonic);
+            state.record_newer_revision(9 + millis, at(millis));
+            state.confirm(at(millis).monotonic);
         }
-        expect_that!(knowledge.freshness(&bounds(), at(1700)), eq(ConfigFreshness::KeysValid));
-        expect_that!(knowledge.freshness(&bounds(), at(1900)), eq(ConfigFreshness::Outdated));
+        expect_that!(state.freshness(&bounds(), at(1700)), eq(ConfigFreshness::KeysValid));
+        expect_that!(state.freshness(&bounds(), at(1900)), eq(ConfigFreshness::Outdated));
         // Reaching what was heard of first is enough: more follows all the time.
-        knowledge.reach(9);
-        expect_that!(knowledge.lag(at(2000)), none());
+        state.record_reached_revision(9);
+        expect_that!(state.lag(at(2000)), none());
     }
 
     box_that_was_cut_off_serves_on_by_what_it_has => {
-        let mut knowledge = ControlPlaneState::default();
-        knowledge.hear_of_newer(9, at(0));
-        knowledge.confirm(at(0).monotonic);
-        expect_that!(knowledge.freshness(&bounds(), at(1900)), eq(ConfigFreshness::Current));
+        let mut state = ControlPlaneState::default();
+        state.record_newer_revision(9, at(0));
+        state.confirm(at(0).monotonic);
+        expect_that!(state.freshness(&bounds(), at(1900)), eq(ConfigFreshness::Current));
     }
 
     older_configuration_is_not_taken => {
-        let mut knowledge = ControlPlaneState::default();
-        knowledge.apply(routes(7), at(0));
-        expect_that!(knowledge.apply(routes(6), at(1)), eq(&Change::Nothing));
-        expect_that!(knowledge.routes().unwrap().version, eq(7));
-        expect_that!(knowledge.apply(routes(9), at(2)), eq(&Change::Routes(9)));
+        let mut state = ControlPlaneState::default();
+        state.apply(routes(7), at(0));
+        expect_that!(state.apply(routes(6), at(1)), eq(&Change::Nothing));
+        expect_that!(state.routes().unwrap().version, eq(7));
+        expect_that!(state.apply(routes(9), at(2)), eq(&Change::Routes(9)));
     }
 
     unreadable_item_changes_nothing => {
-        let mut knowledge = ControlPlaneState::default();
-        knowledge.apply(routes(7), at(0));
+        let mut state = ControlPlaneState::default();
+        state.apply(routes(7), at(0));
         let faulty = Update::Faulty { item: "x".to_owned(), reason: "y".to_owned() };
-        knowledge.apply(faulty, at(1));
-        expect_that!(knowledge.routes().unwrap().version, eq(7));
+        state.apply(faulty, at(1));
+        expect_that!(state.routes().unwrap().version, eq(7));
     }
 
     age_counts_from_the_question => {
-        let mut knowledge = ControlPlaneState::default();
-        expect_that!(knowledge.age(at(5)), none());
-        knowledge.confirm(at(100).monotonic);
+        let mut state = ControlPlaneState::default();
+        expect_that!(state.age(at(5)), none());
+        state.confirm(at(100).monotonic);
         // A proof that was asked for earlier says less and changes nothing.
-        knowledge.confirm(at(50).monotonic);
-        expect_that!(knowledge.age(at(400)).unwrap().as_millis(), eq(300));
+        state.confirm(at(50).monotonic);
+        expect_that!(state.age(at(400)).unwrap().as_millis(), eq(300));
     }
 
     draining_upstream_takes_nothing_new => {
-        let mut knowledge = ControlPlaneState::default();
-        knowledge.apply(upstream("i-1"), at(0));
+        let mut state = ControlPlaneState::default();
+        state.apply(upstream("i-1"), at(0));
         let mut draining = listed("i-1", "engine", "ikeja");
         draining.draining = true;
-        knowledge.apply(Update::Upstream(Box::new(draining)), at(1));
-        expect_that!(open(&knowledge, 2), eq(0));
+        state.apply(Update::Upstream(Box::new(draining)), at(1));
+        expect_that!(open(&state, 2), eq(0));
     }
 
     entry_that_vanishes_from_a_settled_store_is_gone_at_once => {
-        let mut knowledge = ControlPlaneState::default();
-        knowledge.apply(upstream("i-1"), at(0));
-        knowledge.apply(Update::UpstreamGone("i-1".to_owned()), at(1));
-        expect_that!(open(&knowledge, 2), eq(0));
+        let mut state = ControlPlaneState::default();
+        state.apply(upstream("i-1"), at(0));
+        state.apply(Update::UpstreamGone("i-1".to_owned()), at(1));
+        expect_that!(open(&state, 2), eq(0));
     }
 
     entry_that_lapsed_with_the_store_is_used_for_two_seconds => {
         // Fails where the end of the grace is looked at only when tidying: a server that
         // had left got requests three seconds later.
-        let mut knowledge = lapsed_after_an_outage();
-        expect_that!(open(&knowledge, 7900), eq(1));
-        expect_that!(open(&knowledge, 8200), eq(0));
-        expect_that!(knowledge.drop_lapsed(at(8200)).len(), eq(1));
+        let mut state = lapsed_after_an_outage();
+        expect_that!(open(&state, 7900), eq(1));
+        expect_that!(open(&state, 8200), eq(0));
+        expect_that!(state.remove_lapsed_upstreams(at(8200)).len(), eq(1));
     }
 
     entry_that_comes_back_is_used_on => {
-        let mut knowledge = lapsed_after_an_outage();
-        knowledge.apply(upstream("i-1"), at(6500));
-        expect_that!(open(&knowledge, 19_000), eq(1));
+        let mut state = lapsed_after_an_outage();
+        state.apply(upstream("i-1"), at(6500));
+        expect_that!(open(&state, 19_000), eq(1));
     }
 
     grace_begins_once_however_often_the_store_is_heard_of => {
-        let mut knowledge = lapsed_after_an_outage();
-        knowledge.hear_of_store(at(7000));
-        knowledge.hear_of_store(at(8000));
-        expect_that!(open(&knowledge, 8200), eq(0));
+        let mut state = lapsed_after_an_outage();
+        state.record_store_contact(at(7000));
+        state.record_store_contact(at(8000));
+        expect_that!(open(&state, 8200), eq(0));
     }
 
     entry_that_vanishes_while_others_reach_the_store_is_gone_at_once => {
         // Fails where a hub that alone is turned away by the store makes all boxes keep
         // what vanishes: servers that had left got 38 requests on a grown day.
-        let mut knowledge = ControlPlaneState::default();
-        knowledge.apply(upstream("i-1"), at(0));
-        knowledge.confirm(at(4500).monotonic);
-        knowledge.hear_of_store(at(6000));
-        knowledge.apply(Update::UpstreamGone("i-1".to_owned()), at(6000));
-        expect_that!(open(&knowledge, 6001), eq(0));
+        let mut state = ControlPlaneState::default();
+        state.apply(upstream("i-1"), at(0));
+        state.confirm(at(4500).monotonic);
+        state.record_store_contact(at(6000));
+        state.apply(Update::UpstreamGone("i-1".to_owned()), at(6000));
+        expect_that!(open(&state, 6001), eq(0));
     }
 }
 
@@ -226,10 +226,10 @@
 
 /// Returns what a box knows when an entry vanished with six seconds of outage.
 fn lapsed_after_an_outage() -> ControlPlaneState {
-    let mut knowledge = ControlPlaneState::default();
-    knowledge.apply(upstream("i-1"), at(0));
-    knowledge.confirm(at(0).monotonic);
-    knowledge.hear_of_store(at(6000));
-    knowledge.apply(Update::UpstreamGone("i-1".to_owned()), at(6000));
-    knowledge
+    let mut state = ControlPlaneState::default();
+    state.apply(upstream("i-1"), at(0));
+    state.confirm(at(0).monotonic);
+    state.record_store_contact(at(6000));
+    state.apply(Update::UpstreamGone("i-1".to_owned()), at(6000));
+    state
 }
--- a/tests/gateway/initial_sync.rs
+++ b/tests/gateway/initial_sync.rs
@@ -7,7 +7,7 @@
 use super::{at, cases};
 use gatepier::clock::Now;
 use gatepier::gateway::FirstWait;
-use gatepier::gateway::control::initial_sync::{FirstRead, Own, plan};
+use gatepier::gateway::control::initial_sync::{StartingBox, SyncPlan, plan_initial_sync};
 use gatepier::gateway::control::store::BoxEntry;
 use googletest::prelude::*;
 use std::collections::HashMap;
@@ -46,14 +46,14 @@
     (0..boxes).map(entry).collect()
 }
 
-fn own(entry: &BoxEntry) -> Own {
-    Own {
+fn own(entry: &BoxEntry) -> StartingBox {
+    StartingBox {
         address: entry.address,
         link_mbps: entry.link_mbps,
     }
 }
 
-fn plans(fleet: &[BoxEntry], call: u64) -> HashMap<SocketAddr, FirstRead> {
+fn plans(fleet: &[BoxEntry], call: u64) -> HashMap<SocketAddr, SyncPlan> {
     let hall_of = |entry: &BoxEntry| -> Vec<BoxEntry> {
         let same = fleet.iter().filter(|other| other.hall == entry.hall);
         same.cloned().collect()
@@ -61,7 +61,12 @@
     let took = Duration::from_millis(call);
     fleet
         .iter()
-        .map(|entry| (entry.address, plan(own(entry), &hall_of(entry), took)))
+        .map(|entry| {
+            (
+                entry.address,
+                plan_initial_sync(own(entry), &hall_of(entry), took),
+            )
+        })
         .collect()
 }
 
@@ -100,14 +105,16 @@
                 continue;
             }
             let is_due = match &plans[&own] {
-                FirstRead::Store => true,
-                FirstRead::Boxes { turn, .. } => u128::from(millis - planned) >= turn.as_millis(),
+                SyncPlan::ReadStore => true,
+                SyncPlan::FetchFromBoxes {
+                    store_read_delay, ..
+                } => u128::from(millis - planned) >= store_read_delay.as_millis(),
             };
             if is_due && !from_box.contains_key(&own) {
                 from_store.insert(own, (millis + call, AS_THE_STORE_WRITES_IT));
                 reads += 1;
             }
-            if let FirstRead::Boxes { readers, .. } = &plans[&own] {
+            if let SyncPlan::FetchFromBoxes { readers, .. } = &plans[&own] {
                 let knowing =
                     |reader: &&SocketAddr| knows.get(reader).is_some_and(|since| *since <= millis);
                 if let Some(reader) = readers.iter().find(knowing) {
@@ -170,7 +177,7 @@
         for boxes in SIZES {
             let fleet = fleet(boxes);
             let plans = plans(&fleet, CALL);
-            let readers = plans.values().filter(|plan| **plan == FirstRead::Store).count();
+            let readers = plans.values().filter(|plan| **plan == SyncPlan::ReadStore).count();
             expect_that!(readers, le(3 * HALLS));
             expect_that!(readers, ge(boxes.min(HALLS)));
         }
@@ -182,8 +189,8 @@
         let mut first_asked: HashMap<SocketAddr, usize> = HashMap::new();
         for entry in &fleet {
             match &plans[&entry.address] {
-                FirstRead::Store => expect_that!(entry.link_mbps, eq(200)),
-                FirstRead::Boxes { readers, .. } => {
+                SyncPlan::ReadStore => expect_that!(entry.link_mbps, eq(200)),
+                SyncPlan::FetchFromBoxes { readers, .. } => {
                     expect_that!(readers.len(), eq(3));
                     *first_asked.entry(readers[0]).or_default() += 1;
                 }
@@ -195,11 +202,11 @@
 
     box_whose_entry_is_missing_still_has_its_place => {
         let hall: Vec<BoxEntry> = fleet(60).into_iter().filter(|entry| entry.hall == "hall-0").collect();
-        let stranger = Own { address: address(999), link_mbps: 200 };
-        let plan_of = |link_mbps| plan(Own { link_mbps, ..stranger }, &hall, Duration::ZERO);
-        expect_that!(plan_of(1000), eq(&FirstRead::Store));
-        expect_that!(plan(stranger, &[], Duration::ZERO), eq(&FirstRead::Store));
-        expect_that!(matches!(plan_of(10), FirstRead::Boxes { .. }), eq(true));
+        let stranger = StartingBox { address: address(999), link_mbps: 200 };
+        let plan_of = |link_mbps| plan_initial_sync(StartingBox { link_mbps, ..stranger }, &hall, Duration::ZERO);
+        expect_that!(plan_of(1000), eq(&SyncPlan::ReadStore));
+        expect_that!(plan_initial_sync(stranger, &[], Duration::ZERO), eq(&SyncPlan::ReadStore));
+        expect_that!(matches!(plan_of(10), SyncPlan::FetchFromBoxes { .. }), eq(true));
     }
 
     // Load: the fleet comes back together, and a hall has fewer wide links than readers. A third of
@@ -216,10 +223,10 @@
             .collect();
         let plans = plans(&hall, CALL);
         let wide = [address(0), address(1)];
-        let reading = plans.values().filter(|plan| **plan == FirstRead::Store).count();
+        let reading = plans.values().filter(|plan| **plan == SyncPlan::ReadStore).count();
         expect_that!(reading, eq(2));
         let of_first = |address: &SocketAddr| {
-            let asks = |plan: &&FirstRead| matches!(plan, FirstRead::Boxes { readers, .. } if readers[0] == *address);
+            let asks = |plan: &&SyncPlan| matches!(plan, SyncPlan::FetchFromBoxes { readers, .. } if readers[0] == *address);
             plans.values().filter(asks).count()
         };
         expect_that!(wide.map(|address| of_first(&address)), elements_are![ge(9), ge(9)]);
@@ -233,8 +240,8 @@
         hall[3].link_mbps = 1000;
         let plans = plans(&hall, CALL);
         let first_asked = plans.values().filter_map(|plan| match plan {
-            FirstRead::Store => None,
-            FirstRead::Boxes { readers, .. } => Some(readers[0]),
+            SyncPlan::ReadStore => None,
+            SyncPlan::FetchFromBoxes { readers, .. } => Some(readers[0]),
         });
         let first_asked: Vec<SocketAddr> = first_asked.collect();
         expect_that!(first_asked, each(eq(&hall[3].address)));
@@ -246,7 +253,7 @@
         let lives: Vec<BoxEntry> = (0..9)
             .map(|life| BoxEntry { name: format!("box-0.{life}"), ..entry.clone() })
             .collect();
-        expect_that!(plan(own(entry), &lives, Duration::ZERO), eq(&FirstRead::Store));
+        expect_that!(plan_initial_sync(own(entry), &lives, Duration::ZERO), eq(&SyncPlan::ReadStore));
     }
 
     fleet_that_starts_at_once_knows_everything_in_half_a_second => {
--- a/tests/gateway/packing.rs
+++ b/tests/gateway/packing.rs
@@ -2,7 +2,7 @@
 
 use super::cases;
 use gatepier::gateway::control::store::Item;
-use gatepier::gateway::peers::packing::{PackedItem, Unusable};
+use gatepier::gateway::peers::packing::{PackedItem, UnpackError};
 use googletest::prelude::*;
 use std::fmt::Write as _;
 
@@ -57,15 +57,15 @@
     difference_from_another_state_is_not_taken => {
         let (old, new) = (item(routes(0, 100), 7), item(routes(0, 200), 9));
         let packed = PackedItem::pack(&new, Some(&old));
-        expect_that!(packed.clone().unpack(None), err(eq(&Unusable::OtherBase)));
-        expect_that!(packed.unpack(Some(&item(routes(0, 90), 6))), err(eq(&Unusable::OtherBase)));
+        expect_that!(packed.clone().unpack(None), err(eq(&UnpackError::BaseMismatch)));
+        expect_that!(packed.unpack(Some(&item(routes(0, 90), 6))), err(eq(&UnpackError::BaseMismatch)));
     }
 
     difference_from_other_bytes_of_the_same_revision_is_spoilt => {
         let (old, new) = (item(routes(0, 100), 7), item(routes(0, 200), 9));
         let packed = PackedItem::pack(&new, Some(&old));
         let other = item(routes(300, 400), 7);
-        expect_that!(packed.unpack(Some(&other)), err(matches_pattern!(Unusable::Spoilt(anything()))));
+        expect_that!(packed.unpack(Some(&other)), err(matches_pattern!(UnpackError::Corrupt(anything()))));
     }
 
     cut_or_spoilt_bytes_are_never_a_value => {
--- a/tests/gateway/peer_updates.rs
+++ b/tests/gateway/peer_updates.rs
@@ -6,7 +6,7 @@
 use gatepier::gateway::control::state::ControlPlaneState;
 use gatepier::gateway::control::store::{BoxEntry, Item, Update};
 use gatepier::gateway::peers::hubs::choose_hubs;
-use gatepier::gateway::peers::messages::in_turn;
+use gatepier::gateway::peers::messages::rotating_subset;
 use gatepier::gateway::peers::packing::PackedItem;
 use gatepier::gateway::place::loads::{BoxLoad, Loads, LongRead, LongReads, interval};
 use googletest::prelude::*;
@@ -68,7 +68,7 @@
 
     box_behind_gets_what_came_since => {
         let mut mirror = Mirror::default();
-        mirror.take(vec![item("a", 3), item("b", 5)], 5);
+        mirror.apply(vec![item("a", 3), item("b", 5)], 5);
         let changes = mirror.changes_after(3, false);
         expect_that!(changes.is_snapshot, eq(false));
         expect_that!(keys(&changes.items), elements_are![eq(&"b")]);
@@ -77,7 +77,7 @@
 
     box_that_knows_nothing_gets_everything => {
         let mut mirror = Mirror::default();
-        mirror.take(vec![item("a", 3), Item::deleted("b", 5)], 5);
+        mirror.apply(vec![item("a", 3), Item::deleted("b", 5)], 5);
         let changes = mirror.changes_after(0, false);
         expect_that!(changes.is_snapshot, eq(true));
         expect_that!(keys(&changes.items), elements_are![eq(&"a")]);
@@ -85,8 +85,8 @@
 
     box_behind_hears_of_ends_that_a_listing_showed => {
         let mut mirror = Mirror::default();
-        mirror.take(vec![item("a", 3), item("b", 4)], 4);
-        mirror.take_all(vec![item("a", 3)], 9);
+        mirror.apply(vec![item("a", 3), item("b", 4)], 4);
+        mirror.apply_snapshot(vec![item("a", 3)], 9);
         let changes = mirror.changes_after(4, false);
         expect_that!(keys(&changes.items), elements_are![eq(&"b")]);
         let behind = Mirror::default();
@@ -95,15 +95,15 @@
 
     older_state_of_an_item_is_no_news => {
         let mut mirror = Mirror::default();
-        mirror.take(vec![item("a", 7)], 7);
-        expect_that!(mirror.take(vec![item("a", 6)], 6), is_empty());
+        mirror.apply(vec![item("a", 7)], 7);
+        expect_that!(mirror.apply(vec![item("a", 6)], 6), is_empty());
         expect_that!(mirror.revision(), eq(7));
     }
 
     listing_does_not_end_what_is_newer => {
         let mut mirror = Mirror::default();
-        mirror.take(vec![item("a", 12)], 12);
-        expect_that!(mirror.take_all(Vec::new(), 10), is_empty());
+        mirror.apply(vec![item("a", 12)], 12);
+        expect_that!(mirror.apply_snapshot(Vec::new(), 10), is_empty());
     }
 
     reports_get_rarer_with_more_boxes => {
@@ -112,21 +112,21 @@
     }
 
     load_of_other_boxes_is_seen_and_forgotten => {
-        let mut knowledge = ControlPlaneState::default();
+        let mut state = ControlPlaneState::default();
         let update = Update::Upstream(Box::new(listed("i-1", "engine", "ikeja")));
-        knowledge.apply(update, at(0));
-        let upstream = knowledge.available_upstreams("engine", at(0)).remove(0);
+        state.apply(update, at(0));
+        let upstream = state.available_upstreams("engine", at(0)).remove(0);
         let unread = upstream.begin_reading(Duration::from_millis(500));
         let counted = upstream.enter();
-        let report = BoxLoad::of("other", &knowledge);
+        let report = BoxLoad::of("other", &state);
         drop((unread, counted));
         expect_that!(upstream.unread(at(0)), eq(Duration::ZERO));
         let mut loads = Loads::default();
         loads.take(report, at(0));
-        loads.spread(&knowledge, at(10));
+        loads.spread(&state, at(10));
         expect_that!(upstream.unread(at(10)), eq(Duration::from_millis(500)));
         expect_that!(upstream.occupancy(at(10)), eq(1));
-        loads.spread(&knowledge, at(5000));
+        loads.spread(&state, at(5000));
         expect_that!(upstream.unread(at(5000)), eq(Duration::ZERO));
     }
 
@@ -134,9 +134,9 @@
         let boxes: Vec<SocketAddr> =
             (1..=5).map(|port| SocketAddr::from(([127, 0, 0, 1], port))).collect();
         let mut turn = 0;
-        expect_that!(in_turn(boxes.clone(), 5, &mut turn).len(), eq(5));
-        let first = in_turn(boxes.clone(), 3, &mut turn);
-        let second = in_turn(boxes.clone(), 3, &mut turn);
+        expect_that!(rotating_subset(boxes.clone(), 5, &mut turn).len(), eq(5));
+        let first = rotating_subset(boxes.clone(), 3, &mut turn);
+        let second = rotating_subset(boxes.clone(), 3, &mut turn);
         let ports = |told: &[SocketAddr]| told.iter().map(SocketAddr::port).collect::<Vec<_>>();
         expect_that!(ports(&first), eq(&vec![1, 2, 3]));
         expect_that!(ports(&second), eq(&vec![4, 5, 1]));
@@ -145,17 +145,17 @@
     long_read_of_another_box_counts_at_once_until_it_is_over => {
         // Fails where only reports tell of it: with 67 boxes they come once a second, and
         // boxes queued long prompts behind each other at one engine.
-        let mut knowledge = ControlPlaneState::default();
+        let mut state = ControlPlaneState::default();
         let update = Update::Upstream(Box::new(listed("i-1", "engine", "ikeja")));
-        knowledge.apply(update, at(0));
-        let upstream = knowledge.available_upstreams("engine", at(0)).remove(0);
+        state.apply(update, at(0));
+        let upstream = state.available_upstreams("engine", at(0)).remove(0);
         let told = LongReads::default();
         told.note("other", &upstream, Duration::from_millis(6));
         told.note("other", &upstream, Duration::from_millis(500));
         let told = futures::executor::block_on(told.next());
         expect_that!(told.len(), eq(1));
         let mut loads = Loads::default();
-        loads.take_long_read(told[0], &knowledge, at(0));
+        loads.take_long_read(told[0], &state, at(0));
         expect_that!(upstream.unread(at(0)), eq(Duration::from_millis(500)));
         expect_that!(upstream.unread(at(250)), eq(Duration::from_millis(250)));
         expect_that!(upstream.unread(at(600)), eq(Duration::ZERO));
--- a/tests/gateway/upstream_restarts.rs
+++ b/tests/gateway/upstream_restarts.rs
@@ -21,12 +21,12 @@
     }
 }
 
-fn list(knowledge: &mut ControlPlaneState, listed: ListedUpstream) -> Change {
-    knowledge.apply(Update::Upstream(Box::new(listed)), at(0))
+fn list(state: &mut ControlPlaneState, listed: ListedUpstream) -> Change {
+    state.apply(Update::Upstream(Box::new(listed)), at(0))
 }
 
-fn open(knowledge: &ControlPlaneState) -> Vec<Rc<Upstream>> {
-    knowledge.available_upstreams("engine", at(0))
+fn open(state: &ControlPlaneState) -> Vec<Rc<Upstream>> {
+    state.available_upstreams("engine", at(0))
 }
 
 fn faulty(instance: &str) -> Update {
@@ -92,14 +92,14 @@
     told.extend(items.iter().filter(|_| rng.random_ratio(1, 3)).cloned());
     told.shuffle(rng);
     let mut mirror = Mirror::default();
-    let mut knowledge = ControlPlaneState::default();
+    let mut state = ControlPlaneState::default();
     for item in told {
         let revision = item.revision;
-        for news in mirror.take(vec![item], revision) {
-            knowledge.apply(read(&news), at(0));
+        for news in mirror.apply(vec![item], revision) {
+            state.apply(read(&news), at(0));
         }
     }
-    knowledge
+    state
 }
 
 /// The orders of events that the property is tried on, by boxes that hear of them.
@@ -110,16 +110,16 @@
     upstream_that_starts_again_is_not_blamed_for_its_former_life => {
         // Fails where an id stands for one upstream for good: the new life rested, counted as
         // failing and busy, and was expected to read what the former one had been sent.
-        let mut knowledge = ControlPlaneState::default();
-        list(&mut knowledge, born(1000));
-        let former = open(&knowledge).remove(0);
+        let mut state = ControlPlaneState::default();
+        list(&mut state, born(1000));
+        let former = open(&state).remove(0);
         let _running = former.enter();
         let _reading = former.begin_reading(Duration::from_secs(2));
         former.unconnectable(at(0));
         former.lapse(at(0));
 
-        let change = list(&mut knowledge, born(2000));
-        let reborn = open(&knowledge).remove(0);
+        let change = list(&mut state, born(2000));
+        let reborn = open(&state).remove(0);
         expect_that!(change, eq(&Change::UpstreamReborn(reborn.life().clone())));
         expect_that!(reborn.rests(at(0)), eq(false));
         expect_that!(reborn.needs_connection(), eq(false));
@@ -130,88 +130,88 @@
     }
 
     same_life_that_is_listed_anew_keeps_what_is_known_of_it => {
-        let mut knowledge = ControlPlaneState::default();
-        list(&mut knowledge, born(1000));
-        open(&knowledge).remove(0).unconnectable(at(0));
-        list(&mut knowledge, ListedUpstream { slots: 9, ..born(1000) });
-        expect_that!(open(&knowledge)[0].rests(at(0)), eq(true));
+        let mut state = ControlPlaneState::default();
+        list(&mut state, born(1000));
+        open(&state).remove(0).unconnectable(at(0));
+        list(&mut state, ListedUpstream { slots: 9, ..born(1000) });
+        expect_that!(open(&state)[0].rests(at(0)), eq(true));
     }
 
     what_other_boxes_had_at_the_former_life_does_not_load_the_new_one => {
         // Fails where reports name upstreams by their id: long after the crash the new life
         // looked as full as the former one had been.
-        let mut knowledge = ControlPlaneState::default();
-        list(&mut knowledge, born(1000));
-        let former = open(&knowledge).remove(0);
+        let mut state = ControlPlaneState::default();
+        list(&mut state, born(1000));
+        let former = open(&state).remove(0);
         let _running = former.enter();
-        let reported = BoxLoad::of("other", &knowledge);
+        let reported = BoxLoad::of("other", &state);
         let long_reads = LongReads::default();
         long_reads.note("other", &former, Duration::from_secs(1));
         let long_read = futures::executor::block_on(long_reads.next()).remove(0);
 
-        list(&mut knowledge, born(2000));
-        let reborn = open(&knowledge).remove(0);
+        list(&mut state, born(2000));
+        let reborn = open(&state).remove(0);
         let mut loads = Loads::default();
         loads.take(reported, at(0));
-        loads.take_long_read(long_read, &knowledge, at(0));
-        loads.spread(&knowledge, at(0));
+        loads.take_long_read(long_read, &state, at(0));
+        loads.spread(&state, at(0));
         expect_that!(reborn.occupancy(at(0)), eq(0));
         expect_that!(reborn.unread(at(0)), eq(Duration::ZERO));
     }
 
     stray_answer_to_a_try_at_the_former_life_leaves_the_new_one_listed => {
         // Fails where a misdirected try drops whatever has the id by then.
-        let mut knowledge = ControlPlaneState::default();
-        list(&mut knowledge, born(1000));
-        let former = open(&knowledge).remove(0);
-        list(&mut knowledge, born(2000));
-        knowledge.remove_upstream(former.life());
-        expect_that!(open(&knowledge).len(), eq(1));
-        let reborn = open(&knowledge).remove(0);
-        knowledge.remove_upstream(reborn.life());
-        expect_that!(open(&knowledge).len(), eq(0));
+        let mut state = ControlPlaneState::default();
+        list(&mut state, born(1000));
+        let former = open(&state).remove(0);
+        list(&mut state, born(2000));
+        state.remove_upstream(former.life());
+        expect_that!(open(&state).len(), eq(1));
+        let reborn = open(&state).remove(0);
+        state.remove_upstream(reborn.life());
+        expect_that!(open(&state).len(), eq(0));
     }
 
     drained_id_that_is_ready_again_is_used => {
-        let mut knowledge = ControlPlaneState::default();
-        list(&mut knowledge, ListedUpstream { draining: true, ..born(1000) });
-        expect_that!(open(&knowledge).len(), eq(0));
-        list(&mut knowledge, born(2000));
-        expect_that!(open(&knowledge).len(), eq(1));
+        let mut state = ControlPlaneState::default();
+        list(&mut state, ListedUpstream { draining: true, ..born(1000) });
+        expect_that!(open(&state).len(), eq(0));
+        list(&mut state, born(2000));
+        expect_that!(open(&state).len(), eq(1));
     }
 
     upstream_whose_clock_was_set_back_is_used_in_its_newest_life => {
-        let mut knowledge = ControlPlaneState::default();
-        list(&mut knowledge, born(2000));
-        list(&mut knowledge, born(1000));
-        expect_that!(open(&knowledge)[0].life().born, some(eq(1000)));
+        let mut state = ControlPlaneState::default();
+        list(&mut state, born(2000));
+        list(&mut state, born(1000));
+        expect_that!(open(&state)[0].life().born, some(eq(1000)));
     }
 
     spoilt_entry_names_no_upstream_and_is_reported_once => {
         // Fails where the last good entry stays in force.
-        let mut knowledge = ControlPlaneState::default();
-        list(&mut knowledge, born(1000));
-        list(&mut knowledge, listed("i-2", "engine", "ikeja"));
-        let change = knowledge.apply(faulty("i-1"), at(0));
+        let mut state = ControlPlaneState::default();
+        list(&mut state, born(1000));
+        list(&mut state, listed("i-2", "engine", "ikeja"));
+        let change = state.apply(faulty("i-1"), at(0));
         expect_that!(matches!(change, Change::UpstreamFaulty { .. }), eq(true));
-        expect_that!(knowledge.apply(faulty("i-1"), at(0)), eq(&Change::Nothing));
-        expect_that!(knowledge.faulty_count(), eq(1));
-        expect_that!(open(&knowledge).len(), eq(1));
+        expect_that!(state.apply(faulty("i-1"), at(0)), eq(&Change::Nothing));
+        expect_that!(state.faulty_upstream_count(), eq(1));
+        expect_that!(open(&state).len(), eq(1));
 
-        list(&mut knowledge, born(1000));
-        expect_that!(knowledge.faulty_count(), eq(0));
-        expect_that!(open(&knowledge).len(), eq(2));
-        knowledge.apply(faulty("i-1"), at(0));
-        knowledge.apply(Update::UpstreamGone("i-1".to_owned()), at(0));
-        expect_that!(knowledge.faulty_count(), eq(0));
+        list(&mut state, born(1000));
+        expect_that!(state.faulty_upstream_count(), eq(0));
+        expect_that!(open(&state).len(), eq(2));
+        state.apply(faulty("i-1"), at(0));
+        state.apply(Update::UpstreamGone("i-1".to_owned()), at(0));
+        expect_that!(state.faulty_upstream_count(), eq(0));
     }
 
     entry_that_does_not_tell_the_birth_any_more_is_spoilt => {
-        let mut knowledge = ControlPlaneState::default();
-        list(&mut knowledge, born(1000));
-        let change = list(&mut knowledge, listed("i-1", "engine", "ikeja"));
+        let mut state = ControlPlaneState::default();
+        list(&mut state, born(1000));
+        let change = list(&mut state, listed("i-1", "engine", "ikeja"));
         expect_that!(matches!(change, Change::UpstreamFaulty { .. }), eq(true));
-        expect_that!(open(&knowledge).len(), eq(0));
+        expect_that!(open(&state).len(), eq(0));
     }
 
     no_order_of_telling_uses_a_gone_life_or_forgets_a_living_one => {
@@ -228,13 +228,13 @@
                 };
                 written.push(Written::draw(&mut rng, start).item(revision));
             }
-            let knowledge = tell(&written, &mut rng);
+            let state = tell(&written, &mut rng);
             let newest = read(written.last().unwrap());
             let expected = match newest {
                 Update::Upstream(listed) if !listed.draining => Some(listed.born),
                 _ => None,
             };
-            let used = open(&knowledge).first().map(|upstream| upstream.life().born);
+            let used = open(&state).first().map(|upstream| upstream.life().born);
             assert_that!(used, eq(expected), "seed {seed}");
         }
     }
@@ -247,9 +247,9 @@
                 .chain([Written::Ready(3000).item(13)])
                 .collect();
             for _ in 0..boxes {
-                let knowledge = tell(&written, &mut rng);
+                let state = tell(&written, &mut rng);
                 let lives: Vec<Option<u64>> =
-                    open(&knowledge).iter().map(|upstream| upstream.life().born).collect();
+                    open(&state).iter().map(|upstream| upstream.life().born).collect();
                 assert_that!(lives, eq(&vec![Some(3000)]), "{boxes} boxes");
             }
         }
@@ -257,29 +257,29 @@
 
     // Guards against entries that bring back an upstream which has said that it leaves.
     life_that_leaves_by_its_word_is_never_open_again => {
-        let mut knowledge = ControlPlaneState::default();
-        list(&mut knowledge, born(1));
+        let mut state = ControlPlaneState::default();
+        list(&mut state, born(1));
         let life = born(1).life();
-        expect_that!(knowledge.note_leaving(&life, at(0)), eq(true));
-        expect_that!(knowledge.note_leaving(&life, at(1)), eq(false));
-        expect_that!(open(&knowledge), is_empty());
-        knowledge.apply(faulty("i-1"), at(2));
-        list(&mut knowledge, born(1));
-        expect_that!(open(&knowledge), is_empty());
-        knowledge.apply(Update::UpstreamGone("i-1".to_owned()), at(3));
-        knowledge.forget_leaving(at(10_000));
-        list(&mut knowledge, born(1));
-        expect_that!(open(&knowledge), is_empty());
-        expect_that!(knowledge.is_serving(&life), eq(false));
-        list(&mut knowledge, born(2));
-        expect_that!(open(&knowledge).len(), eq(1));
+        expect_that!(state.record_leaving(&life, at(0)), eq(true));
+        expect_that!(state.record_leaving(&life, at(1)), eq(false));
+        expect_that!(open(&state), is_empty());
+        state.apply(faulty("i-1"), at(2));
+        list(&mut state, born(1));
+        expect_that!(open(&state), is_empty());
+        state.apply(Update::UpstreamGone("i-1".to_owned()), at(3));
+        state.prune_leaving(at(10_000));
+        list(&mut state, born(1));
+        expect_that!(open(&state), is_empty());
+        expect_that!(state.is_serving(&life), eq(false));
+        list(&mut state, born(2));
+        expect_that!(open(&state).len(), eq(1));
     }
 
     lives_that_left_long_ago_are_forgotten => {
-        let mut knowledge = ControlPlaneState::default();
+        let mut state = ControlPlaneState::default();
         let life = born(1).life();
-        knowledge.note_leaving(&life, at(0));
-        knowledge.forget_leaving(at(601_000));
-        expect_that!(knowledge.note_leaving(&life, at(601_000)), eq(true));
+        state.record_leaving(&life, at(0));
+        state.prune_leaving(at(601_000));
+        expect_that!(state.record_leaving(&life, at(601_000)), eq(true));
     }
 }
