--- a/tests/gateway/datagrams.rs
+++ b/tests/gateway/datagrams.rs
@@ -1,4 +1,4 @@
-//! Messages between boxes come out as they went in, and spoilt ones are not taken.
+//! Encoding of messages between boxes: a round trip preserves them, and corrupt ones are rejected.
 
 use super::cases;
 use gatepier::gateway::control::store::BoxEntry;
@@ -20,27 +20,27 @@
 }
 
 cases! {
-    message_comes_out_as_it_went_in => {
+    message_survives_encoding_and_decoding => {
         for count in [0, 1, 40] {
             let datagram = encode(&entries(count)).unwrap();
             expect_that!(decode::<Vec<BoxEntry>>(&datagram), ok(eq(&entries(count))));
         }
     }
 
-    messages_that_repeat_their_words_shrink => {
+    repetitive_messages_are_compressed => {
         let plain = bincode::serde::encode_to_vec(entries(40), bincode::config::standard());
         let (plain, datagram) = (plain.unwrap().len(), encode(&entries(40)).unwrap().len());
         println!("{plain} bytes plain, {datagram} as a datagram");
         expect_that!(datagram, lt(plain / 2));
     }
 
-    spoilt_datagrams_are_refused => {
+    corrupt_datagrams_are_rejected => {
         expect_that!(decode::<Vec<BoxEntry>>(&[]), err(anything()));
         expect_that!(decode::<Vec<BoxEntry>>(&[9, 1, 2]), err(anything()));
         let mut datagram = encode(&entries(40)).unwrap();
         datagram.truncate(datagram.len() / 2);
         expect_that!(decode::<Vec<BoxEntry>>(&datagram), err(anything()));
-        // A few bytes that grow beyond any message.
+        // A small datagram that decompresses to more than any message.
         let bomb = zstd_of_zeros(4 * 1024 * 1024);
         expect_that!(bomb.len(), lt(1000));
         expect_that!(decode::<Vec<u8>>(&bomb), err(anything()));
--- a/tests/gateway/freshness.rs
+++ b/tests/gateway/freshness.rs
@@ -1,4 +1,4 @@
-//! Knowledge never goes back, and its age is never underestimated.
+//! The control-plane state never goes back, and its age is never underestimated.
 
 use super::{at, cases, listed};
 use gatepier::gateway::admit::routes::{Caller, Organisation, RouteTable};
@@ -23,7 +23,7 @@
     Update::Upstream(Box::new(listed(instance, "engine", "ikeja")))
 }
 
-fn open(state: &ControlPlaneState, millis: u64) -> usize {
+fn available(state: &ControlPlaneState, millis: u64) -> usize {
     state.available_upstreams("engine", at(millis)).len()
 }
 
@@ -35,9 +35,9 @@
 }
 
 cases! {
-    own_check_follows_from_the_bound_for_changes => {
-        // Fails where every fleet calls the store after 1.5 s: where changes have four
-        // seconds, 295 boxes called while their hubs were reading everything anew.
+    own_check_age_follows_from_the_configuration_bound => {
+        // Guards against a fixed age of 1.5 s: with a configuration bound of four seconds, 295
+        // boxes called the store needlessly while their hubs were reading a full snapshot.
         let of = |config: u64| Bounds { config: Duration::from_millis(config), ..bounds() };
         expect_that!(of(2000).own_check_age(), eq(Duration::from_millis(1500)));
         expect_that!(of(1000).own_check_age(), eq(Duration::from_millis(750)));
@@ -46,7 +46,7 @@
         }
     }
 
-    known_key_is_served_on_without_proof_where_operators_bear_it => {
+    known_key_is_accepted_without_confirmation_if_operators_allow_it => {
         let organisation = organisation();
         let known = Caller::Known(&organisation);
         let known = Some(known);
@@ -59,7 +59,7 @@
         }
     }
 
-    unknown_key_is_told_to_come_back_until_it_is_proved_unknown => {
+    unknown_key_gets_a_retryable_refusal_until_confirmed_unknown => {
         for unproved in [UnprovedKeys::ServeKnown, UnprovedKeys::Refuse] {
             let proved = check(Some(Caller::Unknown), ConfigFreshness::Current, unproved);
             expect_that!(proved, err(eq(Why::UnknownKey)));
@@ -70,9 +70,9 @@
         }
     }
 
-    missing_route_is_told_to_come_back_until_it_is_proved_missing => {
-        // Fails where a box says 404 for whatever it does not know: routes that had been
-        // confirmed three seconds before were refused for good by boxes that lacked them.
+    missing_route_gets_a_retryable_refusal_until_confirmed_missing => {
+        // Guards against answering 404 for every unknown route: routes confirmed three seconds
+        // before were finally refused by boxes that had not received them yet.
         for unproved in [UnprovedKeys::ServeKnown, UnprovedKeys::Refuse] {
             expect_that!(check(None, ConfigFreshness::Current, unproved), err(eq(Why::NoRoute)));
             for proof in [ConfigFreshness::KeysValid, ConfigFreshness::Unconfirmed, ConfigFreshness::Outdated] {
@@ -81,7 +81,7 @@
         }
     }
 
-    box_that_lacks_something_newer_for_too_long_serves_nothing_by_what_it_has => {
+    box_that_is_behind_for_too_long_serves_no_requests => {
         let organisation = organisation();
         for caller in [Caller::Known(&organisation), Caller::Anonymous, Caller::Unknown] {
             for unproved in [UnprovedKeys::ServeKnown, UnprovedKeys::Refuse] {
@@ -92,7 +92,7 @@
         expect_that!(check(Some(Caller::Anonymous), ConfigFreshness::Unconfirmed, UnprovedKeys::Refuse), ok(anything()));
     }
 
-    proof_is_the_newest_only_while_nothing_newer_is_known => {
+    freshness_is_current_only_while_no_newer_revision_is_known => {
         let mut state = ControlPlaneState::default();
         expect_that!(state.freshness(&bounds(), at(0)), eq(ConfigFreshness::Unconfirmed));
         state.confirm(at(0).monotonic);
@@ -108,7 +108,7 @@
         expect_that!(state.freshness(&bounds(), at(5100)), eq(ConfigFreshness::Current));
     }
 
-    something_newer_that_does_not_come_outdates_what_is_known => {
+    missing_newer_revision_makes_the_state_outdated => {
         let mut state = ControlPlaneState::default();
         for millis in (0..=2000).step_by(400) {
             state.record_newer_revision(9 + millis, at(millis));
@@ -116,19 +116,20 @@
         }
         expect_that!(state.freshness(&bounds(), at(1700)), eq(ConfigFreshness::KeysValid));
         expect_that!(state.freshness(&bounds(), at(1900)), eq(ConfigFreshness::Outdated));
-        // Reaching what was heard of first is enough: more follows all the time.
+        // Reaching the revision that was reported first is enough, since newer ones follow all the
+        // time.
         state.record_reached_revision(9);
         expect_that!(state.lag(at(2000)), none());
     }
 
-    box_that_was_cut_off_serves_on_by_what_it_has => {
+    disconnected_box_keeps_serving_with_its_state => {
         let mut state = ControlPlaneState::default();
         state.record_newer_revision(9, at(0));
         state.confirm(at(0).monotonic);
         expect_that!(state.freshness(&bounds(), at(1900)), eq(ConfigFreshness::Current));
     }
 
-    older_configuration_is_not_taken => {
+    older_configuration_is_ignored => {
         let mut state = ControlPlaneState::default();
         state.apply(routes(7), at(0));
         expect_that!(state.apply(routes(6), at(1)), eq(&Change::Nothing));
@@ -136,7 +137,7 @@
         expect_that!(state.apply(routes(9), at(2)), eq(&Change::Routes(9)));
     }
 
-    unreadable_item_changes_nothing => {
+    undecodable_item_changes_nothing => {
         let mut state = ControlPlaneState::default();
         state.apply(routes(7), at(0));
         let faulty = Update::Faulty { item: "x".to_owned(), reason: "y".to_owned() };
@@ -144,66 +145,66 @@
         expect_that!(state.routes().unwrap().version, eq(7));
     }
 
-    age_counts_from_the_question => {
+    age_counts_from_the_time_of_the_request => {
         let mut state = ControlPlaneState::default();
         expect_that!(state.age(at(5)), none());
         state.confirm(at(100).monotonic);
-        // A proof that was asked for earlier says less and changes nothing.
+        // A confirmation requested earlier proves less and changes nothing.
         state.confirm(at(50).monotonic);
         expect_that!(state.age(at(400)).unwrap().as_millis(), eq(300));
     }
 
-    draining_upstream_takes_nothing_new => {
+    draining_upstream_gets_no_new_requests => {
         let mut state = ControlPlaneState::default();
         state.apply(upstream("i-1"), at(0));
         let mut draining = listed("i-1", "engine", "ikeja");
         draining.draining = true;
         state.apply(Update::Upstream(Box::new(draining)), at(1));
-        expect_that!(open(&state, 2), eq(0));
+        expect_that!(available(&state, 2), eq(0));
     }
 
-    entry_that_vanishes_from_a_settled_store_is_gone_at_once => {
+    entry_missing_from_a_healthy_store_is_removed_at_once => {
         let mut state = ControlPlaneState::default();
         state.apply(upstream("i-1"), at(0));
         state.apply(Update::UpstreamGone("i-1".to_owned()), at(1));
-        expect_that!(open(&state, 2), eq(0));
+        expect_that!(available(&state, 2), eq(0));
     }
 
-    entry_that_lapsed_with_the_store_is_used_for_two_seconds => {
-        // Fails where the end of the grace is looked at only when tidying: a server that
-        // had left got requests three seconds later.
+    entry_that_expired_during_an_outage_is_used_for_two_seconds => {
+        // Guards against checking the end of the grace period only in the periodic expiry: an
+        // upstream that had left got requests for three seconds more.
         let mut state = lapsed_after_an_outage();
-        expect_that!(open(&state, 7900), eq(1));
-        expect_that!(open(&state, 8200), eq(0));
+        expect_that!(available(&state, 7900), eq(1));
+        expect_that!(available(&state, 8200), eq(0));
         expect_that!(state.remove_lapsed_upstreams(at(8200)).len(), eq(1));
     }
 
-    entry_that_comes_back_is_used_on => {
+    expired_entry_that_returns_stays_in_use => {
         let mut state = lapsed_after_an_outage();
         state.apply(upstream("i-1"), at(6500));
-        expect_that!(open(&state, 19_000), eq(1));
+        expect_that!(available(&state, 19_000), eq(1));
     }
 
-    grace_begins_once_however_often_the_store_is_heard_of => {
+    grace_period_starts_once_per_outage => {
         let mut state = lapsed_after_an_outage();
         state.record_store_contact(at(7000));
         state.record_store_contact(at(8000));
-        expect_that!(open(&state, 8200), eq(0));
+        expect_that!(available(&state, 8200), eq(0));
     }
 
-    entry_that_vanishes_while_others_reach_the_store_is_gone_at_once => {
-        // Fails where a hub that alone is turned away by the store makes all boxes keep
-        // what vanishes: servers that had left got 38 requests on a grown day.
+    entry_missing_while_other_boxes_reach_the_store_is_removed_at_once => {
+        // Guards against a single hub that the store rejects making all boxes keep missing entries:
+        // upstreams that had left got 38 requests in a run on a large deployment.
         let mut state = ControlPlaneState::default();
         state.apply(upstream("i-1"), at(0));
         state.confirm(at(4500).monotonic);
         state.record_store_contact(at(6000));
         state.apply(Update::UpstreamGone("i-1".to_owned()), at(6000));
-        expect_that!(open(&state, 6001), eq(0));
+        expect_that!(available(&state, 6001), eq(0));
     }
 }
 
-/// Returns bounds of operators.
+/// Returns typical operators' bounds.
 fn bounds() -> Bounds {
     Bounds {
         grace: Duration::from_secs(8),
@@ -224,7 +225,7 @@
     }
 }
 
-/// Returns what a box knows when an entry vanished with six seconds of outage.
+/// Returns the state of a box after an entry went missing during a store outage of six seconds.
 fn lapsed_after_an_outage() -> ControlPlaneState {
     let mut state = ControlPlaneState::default();
     state.apply(upstream("i-1"), at(0));
--- a/tests/gateway/initial_sync.rs
+++ b/tests/gateway/initial_sync.rs
@@ -1,8 +1,8 @@
-//! How soon a fleet that lost its power as a whole knows everything again.
+//! How soon a fleet that lost power as a whole has its complete state again.
 //!
-//! Real decisions of each box over links that are modelled: the store's link is shared by all
-//! that read it at a time, and each box's link by all that it tells. The figures are those of
-//! a fleet of 295 boxes, six halls and 160 engines; the clock is the test's.
+//! The decisions are those of real boxes; the links are modelled: the store's link is shared by all
+//! boxes that read it at a time, and each reader's link by all boxes that it sends to. The figures
+//! are those of a fleet of 295 boxes, six halls and 160 engines; time is simulated.
 
 use super::{at, cases};
 use gatepier::clock::Now;
@@ -14,27 +14,28 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Everything as the store writes it, and packed by a box, in bytes.
-const AS_THE_STORE_WRITES_IT: f64 = 600_000.0;
-const PACKED: f64 = 60_000.0;
-/// The store's link, in bytes a millisecond.
-const STORE_LINK: f64 = 125_000.0;
-/// What a box takes to unpack everything with an eighth of a core, in milliseconds.
-const UNPACKING: u64 = 60;
-/// How long a call to the store takes, in milliseconds, when all is well and on its slow days.
-const CALL: u64 = 4;
-const SLOW_CALL: u64 = 240;
+/// The size of the complete state as the store sends it, and as a box packs it, in bytes.
+const STORE_SNAPSHOT_BYTES: f64 = 600_000.0;
+const PACKED_SNAPSHOT_BYTES: f64 = 60_000.0;
+/// The store's link, in bytes per millisecond.
+const STORE_LINK_BYTES_PER_MS: f64 = 125_000.0;
+/// The time to unpack the complete state with an eighth of a core, in milliseconds.
+const UNPACK_MS: u64 = 60;
+/// The duration of a store call in milliseconds, normally and with a slow store.
+const CALL_MS: u64 = 4;
+const SLOW_CALL_MS: u64 = 240;
 const HALLS: usize = 6;
-const SIZES: [usize; 5] = [6, 30, 91, 300, 1000];
-/// When each box knew everything where all of 300 read the store: 1.4 s for the bytes alone.
-const ALL_READ_300: u64 = 1400;
+const FLEET_SIZES: [usize; 5] = [6, 30, 91, 300, 1000];
+/// When each box had its state if all of 300 read the store, in milliseconds: 1.4 s for the bytes
+/// alone.
+const ALL_READ_300_MS: u64 = 1400;
 
 fn address(number: usize) -> SocketAddr {
     let number = u16::try_from(number).unwrap();
     SocketAddr::from(([10, 0, 0, 1], 1000 + number))
 }
 
-/// The fleet, with links from 20 to 200 Mbit/s.
+/// A fleet with links from 20 to 200 Mbit/s.
 fn fleet(boxes: usize) -> Vec<BoxEntry> {
     let entry = |number: usize| BoxEntry {
         name: format!("box-{number}"),
@@ -53,12 +54,12 @@
     }
 }
 
-fn plans(fleet: &[BoxEntry], call: u64) -> HashMap<SocketAddr, SyncPlan> {
+fn plans(fleet: &[BoxEntry], call_ms: u64) -> HashMap<SocketAddr, SyncPlan> {
     let hall_of = |entry: &BoxEntry| -> Vec<BoxEntry> {
         let same = fleet.iter().filter(|other| other.hall == entry.hall);
         same.cloned().collect()
     };
-    let took = Duration::from_millis(call);
+    let took = Duration::from_millis(call_ms);
     fleet
         .iter()
         .map(|entry| {
@@ -72,120 +73,127 @@
 
 #[derive(Debug)]
 struct Outcome {
-    /// When half of the boxes knew everything, and when the last one did, in milliseconds.
-    half: u64,
-    last: u64,
-    /// The boxes that read the store.
-    reads: usize,
-    /// The most that one box sent, in bytes.
-    most_sent: f64,
+    /// When half of the boxes and when all of them had the complete state, in milliseconds.
+    half_synced_ms: u64,
+    last_synced_ms: u64,
+    /// The number of boxes that read the store.
+    store_reads: usize,
+    /// The most bytes that one box sent.
+    max_sent_bytes: f64,
 }
 
-/// Starts all boxes but those that are dead, which register nothing anew.
-fn start(boxes: usize, call: u64, is_dead: impl Fn(&BoxEntry) -> bool) -> Outcome {
+/// Starts all boxes except the dead ones, which are registered but do not come back.
+fn simulate_start(boxes: usize, call_ms: u64, is_dead: impl Fn(&BoxEntry) -> bool) -> Outcome {
     let fleet = fleet(boxes);
-    let plans = plans(&fleet, call);
-    let living: Vec<&BoxEntry> = fleet.iter().filter(|entry| !is_dead(entry)).collect();
-    let links: HashMap<SocketAddr, f64> = living
+    let plans = plans(&fleet, call_ms);
+    let live: Vec<&BoxEntry> = fleet.iter().filter(|entry| !is_dead(entry)).collect();
+    let links: HashMap<SocketAddr, f64> = live
         .iter()
         .map(|entry| (entry.address, f64::from(entry.link_mbps) * 125.0))
         .collect();
-    // Registering takes two calls and is waited for up to 100 ms; asking for the hall takes one.
-    let planned = (2 * call).min(100) + call;
-    let mut knows: HashMap<SocketAddr, u64> = HashMap::new();
-    // When the bytes begin to come, and how many have still to come.
+    // Registering takes two calls and is awaited for up to 100 ms; reading the hall takes one.
+    let plan_ready_ms = (2 * call_ms).min(100) + call_ms;
+    let mut synced: HashMap<SocketAddr, u64> = HashMap::new();
+    // When the bytes start to arrive, and how many are still missing.
     let mut from_store: HashMap<SocketAddr, (u64, f64)> = HashMap::new();
     let mut from_box: HashMap<SocketAddr, (SocketAddr, f64)> = HashMap::new();
     let mut sent: HashMap<SocketAddr, f64> = HashMap::new();
-    let mut reads = 0;
-    for millis in planned..30_000 {
-        for entry in &living {
+    let mut store_reads = 0;
+    for millis in plan_ready_ms..30_000 {
+        for entry in &live {
             let own = entry.address;
-            if knows.contains_key(&own) || from_store.contains_key(&own) {
+            if synced.contains_key(&own) || from_store.contains_key(&own) {
                 continue;
             }
             let is_due = match &plans[&own] {
                 SyncPlan::ReadStore => true,
                 SyncPlan::FetchFromBoxes {
                     store_read_delay, ..
-                } => u128::from(millis - planned) >= store_read_delay.as_millis(),
+                } => u128::from(millis - plan_ready_ms) >= store_read_delay.as_millis(),
             };
             if is_due && !from_box.contains_key(&own) {
-                from_store.insert(own, (millis + call, AS_THE_STORE_WRITES_IT));
-                reads += 1;
+                from_store.insert(own, (millis + call_ms, STORE_SNAPSHOT_BYTES));
+                store_reads += 1;
             }
             if let SyncPlan::FetchFromBoxes { readers, .. } = &plans[&own] {
-                let knowing =
-                    |reader: &&SocketAddr| knows.get(reader).is_some_and(|since| *since <= millis);
-                if let Some(reader) = readers.iter().find(knowing) {
-                    from_box.entry(own).or_insert((*reader, PACKED));
+                let is_synced =
+                    |reader: &&SocketAddr| synced.get(reader).is_some_and(|since| *since <= millis);
+                if let Some(reader) = readers.iter().find(is_synced) {
+                    from_box
+                        .entry(own)
+                        .or_insert((*reader, PACKED_SNAPSHOT_BYTES));
                 }
             }
         }
-        let coming = from_store.values().filter(|(begins, _)| *begins <= millis);
-        let store_part = STORE_LINK / coming.count().max(1) as f64;
-        for (own, (begins, left)) in &mut from_store {
-            if *begins <= millis {
-                *left -= store_part.min(links[own]);
+        let active_reads = from_store.values().filter(|(starts, _)| *starts <= millis);
+        let store_share = STORE_LINK_BYTES_PER_MS / active_reads.count().max(1) as f64;
+        for (own, (starts, left)) in &mut from_store {
+            if *starts <= millis {
+                *left -= store_share.min(links[own]);
             }
         }
-        let mut told: HashMap<SocketAddr, f64> = HashMap::new();
+        let mut receivers: HashMap<SocketAddr, f64> = HashMap::new();
         for (reader, _) in from_box.values() {
-            *told.entry(*reader).or_default() += 1.0;
+            *receivers.entry(*reader).or_default() += 1.0;
         }
         for (own, (reader, left)) in &mut from_box {
-            let part = (links[reader] / told[reader]).min(links[own]).min(*left);
-            *left -= part;
-            *sent.entry(*reader).or_default() += part;
+            let sent_bytes = (links[reader] / receivers[reader])
+                .min(links[own])
+                .min(*left);
+            *left -= sent_bytes;
+            *sent.entry(*reader).or_default() += sent_bytes;
         }
-        let read: Vec<SocketAddr> = done(&from_store, |(_, left)| *left <= 0.0);
-        let fetched = done(&from_box, |(_, left)| *left <= 0.0);
+        let read: Vec<SocketAddr> = finished(&from_store, |(_, left)| *left <= 0.0);
+        let fetched = finished(&from_box, |(_, left)| *left <= 0.0);
         for own in read.into_iter().chain(fetched) {
             from_store.remove(&own);
             from_box.remove(&own);
-            knows.entry(own).or_insert(millis + UNPACKING);
+            synced.entry(own).or_insert(millis + UNPACK_MS);
         }
-        if knows.len() == living.len() {
-            let mut times: Vec<u64> = knows.into_values().collect();
+        if synced.len() == live.len() {
+            let mut times: Vec<u64> = synced.into_values().collect();
             times.sort_unstable();
             return Outcome {
-                half: times[times.len() / 2],
-                last: times[times.len() - 1],
-                reads,
-                most_sent: sent.into_values().fold(0.0, f64::max),
+                half_synced_ms: times[times.len() / 2],
+                last_synced_ms: times[times.len() - 1],
+                store_reads,
+                max_sent_bytes: sent.into_values().fold(0.0, f64::max),
             };
         }
     }
-    panic!("not all boxes knew everything after 30 s");
+    panic!("not all boxes were synced after 30 s");
 }
 
-fn done<T>(under_way: &HashMap<SocketAddr, T>, is_done: impl Fn(&T) -> bool) -> Vec<SocketAddr> {
-    let done = under_way.iter().filter(|(_, state)| is_done(state));
-    done.map(|(own, _)| *own).collect()
+fn finished<T>(
+    transfers: &HashMap<SocketAddr, T>,
+    is_finished: impl Fn(&T) -> bool,
+) -> Vec<SocketAddr> {
+    let finished = transfers.iter().filter(|(_, state)| is_finished(state));
+    finished.map(|(own, _)| *own).collect()
 }
 
-fn wait(waits_ms: u64, now: Now) -> Duration {
+fn remaining_wait(caller_waits_ms: u64, now: Now) -> Duration {
     let waiting = FirstWait {
         received: Duration::from_millis(100),
-        caller_waits: Some(Duration::from_millis(waits_ms)),
+        caller_waits: Some(Duration::from_millis(caller_waits_ms)),
     };
     waiting.left(Duration::ZERO, now)
 }
 
 cases! {
     few_boxes_of_each_hall_read_the_store => {
-        for boxes in SIZES {
+        for boxes in FLEET_SIZES {
             let fleet = fleet(boxes);
-            let plans = plans(&fleet, CALL);
+            let plans = plans(&fleet, CALL_MS);
             let readers = plans.values().filter(|plan| **plan == SyncPlan::ReadStore).count();
             expect_that!(readers, le(3 * HALLS));
             expect_that!(readers, ge(boxes.min(HALLS)));
         }
     }
 
-    widest_links_read_and_the_others_are_spread_over_them => {
+    widest_links_read_and_the_others_are_distributed_over_them => {
         let fleet = fleet(300);
-        let plans = plans(&fleet, CALL);
+        let plans = plans(&fleet, CALL_MS);
         let mut first_asked: HashMap<SocketAddr, usize> = HashMap::new();
         for entry in &fleet {
             match &plans[&entry.address] {
@@ -200,7 +208,7 @@
         expect_that!(first_asked.values().copied().max(), some(le(30)));
     }
 
-    box_whose_entry_is_missing_still_has_its_place => {
+    box_without_an_entry_still_gets_a_plan => {
         let hall: Vec<BoxEntry> = fleet(60).into_iter().filter(|entry| entry.hall == "hall-0").collect();
         let stranger = StartingBox { address: address(999), link_mbps: 200 };
         let plan_of = |link_mbps| plan_initial_sync(StartingBox { link_mbps, ..stranger }, &hall, Duration::ZERO);
@@ -209,9 +217,9 @@
         expect_that!(matches!(plan_of(10), SyncPlan::FetchFromBoxes { .. }), eq(true));
     }
 
-    // Load: the fleet comes back together, and a hall has fewer wide links than readers. A third of
-    // its boxes waited for a narrow reader, half a second in place of a few milliseconds.
-    nobody_waits_for_a_narrow_reader_where_wide_ones_are => {
+    // Guards against a hall with fewer wide links than readers, in a fleet that starts together: a
+    // third of its boxes waited for a narrow reader, half a second instead of a few milliseconds.
+    no_box_waits_for_a_narrow_reader_if_wide_ones_exist => {
         let hall: Vec<BoxEntry> = (0..21)
             .map(|number| BoxEntry {
                 name: format!("box-{number}"),
@@ -221,7 +229,7 @@
                 registered: 1,
             })
             .collect();
-        let plans = plans(&hall, CALL);
+        let plans = plans(&hall, CALL_MS);
         let wide = [address(0), address(1)];
         let reading = plans.values().filter(|plan| **plan == SyncPlan::ReadStore).count();
         expect_that!(reading, eq(2));
@@ -232,69 +240,69 @@
         expect_that!(wide.map(|address| of_first(&address)), elements_are![ge(9), ge(9)]);
     }
 
-    only_wide_box_of_a_hall_is_asked_first => {
+    only_wide_box_of_a_hall_is_tried_first => {
         let mut hall: Vec<BoxEntry> = fleet(60).into_iter().filter(|entry| entry.hall == "hall-0").collect();
         for entry in &mut hall {
             entry.link_mbps = 10;
         }
         hall[3].link_mbps = 1000;
-        let plans = plans(&hall, CALL);
+        let plans = plans(&hall, CALL_MS);
         let first_asked = plans.values().filter_map(|plan| match plan {
             SyncPlan::ReadStore => None,
             SyncPlan::FetchFromBoxes { readers, .. } => Some(readers[0]),
         });
         let first_asked: Vec<SocketAddr> = first_asked.collect();
         expect_that!(first_asked, each(eq(&hall[3].address)));
-        expect_that!(first_asked.len(), eq(hall.len() - 2), "another one reads too, if that one is dead");
+        expect_that!(first_asked.len(), eq(hall.len() - 2), "another box reads too, in case that one is dead");
     }
 
-    former_lives_of_a_box_count_once => {
+    entries_of_previous_processes_of_a_box_count_once => {
         let entry = &fleet(1)[0];
-        let lives: Vec<BoxEntry> = (0..9)
-            .map(|life| BoxEntry { name: format!("box-0.{life}"), ..entry.clone() })
+        let entries: Vec<BoxEntry> = (0..9)
+            .map(|process| BoxEntry { name: format!("box-0.{process}"), ..entry.clone() })
             .collect();
-        expect_that!(plan_initial_sync(own(entry), &lives, Duration::ZERO), eq(&SyncPlan::ReadStore));
+        expect_that!(plan_initial_sync(own(entry), &entries, Duration::ZERO), eq(&SyncPlan::ReadStore));
     }
 
-    fleet_that_starts_at_once_knows_everything_in_half_a_second => {
-        // Fails where every box reads the store.
-        for boxes in SIZES {
-            let outcome = start(boxes, CALL, |_| false);
+    fleet_that_starts_at_once_is_synced_in_half_a_second => {
+        // Guards against every box reading the store.
+        for boxes in FLEET_SIZES {
+            let outcome = simulate_start(boxes, CALL_MS, |_| false);
             println!("{boxes} boxes: {outcome:?}");
-            expect_that!(outcome.half, lt(500));
-            expect_that!(outcome.reads, le(3 * HALLS + boxes / 3));
+            expect_that!(outcome.half_synced_ms, lt(500));
+            expect_that!(outcome.store_reads, le(3 * HALLS + boxes / 3));
             if boxes <= 300 {
-                expect_that!(outcome.last, lt(700));
-                expect_that!(outcome.reads, le(3 * HALLS));
-                expect_that!(outcome.most_sent, le(1_000_000.0));
+                expect_that!(outcome.last_synced_ms, lt(700));
+                expect_that!(outcome.store_reads, le(3 * HALLS));
+                expect_that!(outcome.max_sent_bytes, le(1_000_000.0));
             }
         }
     }
 
-    slow_store_costs_a_few_calls => {
-        for boxes in SIZES {
-            let outcome = start(boxes, SLOW_CALL, |_| false);
-            println!("{boxes} boxes, a call takes {SLOW_CALL} ms: {outcome:?}");
-            expect_that!(outcome.half, lt(1500));
+    slow_store_delays_the_sync_by_a_few_calls => {
+        for boxes in FLEET_SIZES {
+            let outcome = simulate_start(boxes, SLOW_CALL_MS, |_| false);
+            println!("{boxes} boxes, a call takes {SLOW_CALL_MS} ms: {outcome:?}");
+            expect_that!(outcome.half_synced_ms, lt(1500));
         }
     }
 
-    dead_readers_cost_less_than_reading_everything_everywhere => {
+    dead_readers_delay_less_than_all_boxes_reading_the_store => {
         for boxes in [91, 300] {
             let all_dead = |entry: &BoxEntry| entry.link_mbps == 200;
-            let outcome = start(boxes, CALL, all_dead);
+            let outcome = simulate_start(boxes, CALL_MS, all_dead);
             println!("{boxes} boxes, those with wide links dead: {outcome:?}");
-            expect_that!(outcome.last, lt(ALL_READ_300 + 300 + 30 * 50));
-            expect_that!(outcome.half, lt(ALL_READ_300));
+            expect_that!(outcome.last_synced_ms, lt(ALL_READ_300_MS + 300 + 30 * 50));
+            expect_that!(outcome.half_synced_ms, lt(ALL_READ_300_MS));
         }
     }
 
-    request_waits_for_a_third_of_its_time_and_no_longer_than_a_start_takes => {
-        expect_that!(wait(1500, at(200)), eq(Duration::from_millis(400)));
-        expect_that!(wait(1500, at(700)), eq(Duration::ZERO));
-        expect_that!(wait(20_000, at(200)), eq(Duration::from_millis(1300)));
-        expect_that!(wait(20_000, at(1600)), eq(Duration::ZERO));
-        expect_that!(wait(0, at(200)), eq(Duration::ZERO));
+    request_waits_for_a_third_of_its_time_and_at_most_for_the_start => {
+        expect_that!(remaining_wait(1500, at(200)), eq(Duration::from_millis(400)));
+        expect_that!(remaining_wait(1500, at(700)), eq(Duration::ZERO));
+        expect_that!(remaining_wait(20_000, at(200)), eq(Duration::from_millis(1300)));
+        expect_that!(remaining_wait(20_000, at(1600)), eq(Duration::ZERO));
+        expect_that!(remaining_wait(0, at(200)), eq(Duration::ZERO));
         let silent = FirstWait { received: Duration::ZERO, caller_waits: None };
         expect_that!(silent.left(Duration::ZERO, at(500)), eq(Duration::from_secs(1)));
     }
--- a/tests/gateway/packing.rs
+++ b/tests/gateway/packing.rs
@@ -1,4 +1,4 @@
-//! How small items become on their way between boxes, and what spoilt ones do.
+//! The size of packed items, and the handling of corrupt ones.
 
 use super::cases;
 use gatepier::gateway::control::store::Item;
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 use std::fmt::Write as _;
 
-/// Returns routes as operators write them, each with names of its own.
+/// Returns a configuration of routes with distinct names, in the operators' format.
 pub fn routes(from: u64, to: u64) -> Vec<u8> {
     let mut text = String::new();
     for number in from..to {
@@ -21,7 +21,7 @@
     text.into_bytes()
 }
 
-/// Returns an item with a value at a revision.
+/// Returns an item with this value and revision.
 pub fn item(value: Vec<u8>, revision: u64) -> Item {
     Item {
         key: "config".to_owned(),
@@ -32,50 +32,50 @@
 }
 
 cases! {
-    item_comes_out_as_it_went_in => {
+    item_survives_packing_and_unpacking => {
         let (old, new) = (item(routes(0, 2800), 7), item(routes(0, 4200), 9));
         let whole = PackedItem::pack(&new, None);
         expect_that!(whole.unpack(None), ok(eq(&new)));
-        let difference = PackedItem::pack(&new, Some(&old));
-        expect_that!(difference.unpack(Some(&old)), ok(eq(&new)));
+        let delta = PackedItem::pack(&new, Some(&old));
+        expect_that!(delta.unpack(Some(&old)), ok(eq(&new)));
         let gone = Item::deleted("config", 11);
         expect_that!(PackedItem::pack(&gone, Some(&new)).unpack(Some(&new)), ok(eq(&gone)));
     }
 
-    large_change_takes_a_small_part_of_its_bytes => {
+    large_change_is_packed_into_few_bytes => {
         let (old, new) = (item(routes(0, 2800), 7), item(routes(0, 4200), 9));
         let bytes = new.value.as_ref().unwrap().len();
         let whole = PackedItem::pack(&new, None).len();
-        let difference = PackedItem::pack(&new, Some(&old)).len();
-        let idle = PackedItem::pack(&item(routes(0, 4200), 12), Some(&new)).len();
-        println!("{bytes} bytes: {whole} whole, {difference} told apart, {idle} if nothing changed");
+        let delta = PackedItem::pack(&new, Some(&old)).len();
+        let unchanged = PackedItem::pack(&item(routes(0, 4200), 12), Some(&new)).len();
+        println!("{bytes} bytes: {whole} in full, {delta} as a delta, {unchanged} if nothing changed");
         expect_that!(whole, lt(bytes / 10));
-        expect_that!(difference, lt(bytes / 25));
-        expect_that!(idle, lt(1000));
+        expect_that!(delta, lt(bytes / 25));
+        expect_that!(unchanged, lt(1000));
     }
 
-    difference_from_another_state_is_not_taken => {
+    delta_to_another_state_is_rejected => {
         let (old, new) = (item(routes(0, 100), 7), item(routes(0, 200), 9));
         let packed = PackedItem::pack(&new, Some(&old));
         expect_that!(packed.clone().unpack(None), err(eq(&UnpackError::BaseMismatch)));
         expect_that!(packed.unpack(Some(&item(routes(0, 90), 6))), err(eq(&UnpackError::BaseMismatch)));
     }
 
-    difference_from_other_bytes_of_the_same_revision_is_spoilt => {
+    delta_to_different_bytes_of_the_same_revision_is_corrupt => {
         let (old, new) = (item(routes(0, 100), 7), item(routes(0, 200), 9));
         let packed = PackedItem::pack(&new, Some(&old));
         let other = item(routes(300, 400), 7);
         expect_that!(packed.unpack(Some(&other)), err(matches_pattern!(UnpackError::Corrupt(anything()))));
     }
 
-    cut_or_spoilt_bytes_are_never_a_value => {
+    corrupt_bytes_are_never_unpacked => {
         let config = bincode::config::standard();
         let packed = PackedItem::pack(&item(routes(0, 200), 9), None);
-        let sound = bincode::serde::encode_to_vec(&packed, config).unwrap();
-        for at in (sound.len() / 2..sound.len()).step_by(37) {
-            let mut spoilt = sound.clone();
-            spoilt[at] ^= 0x55;
-            let read = bincode::serde::decode_from_slice::<PackedItem, _>(&spoilt, config);
+        let encoded = bincode::serde::encode_to_vec(&packed, config).unwrap();
+        for at in (encoded.len() / 2..encoded.len()).step_by(37) {
+            let mut corrupt = encoded.clone();
+            corrupt[at] ^= 0x55;
+            let read = bincode::serde::decode_from_slice::<PackedItem, _>(&corrupt, config);
             if let Ok((read, _)) = read {
                 expect_that!(read.unpack(None), err(anything()));
             }
--- a/tests/gateway/peer_updates.rs
+++ b/tests/gateway/peer_updates.rs
@@ -1,4 +1,4 @@
-//! What boxes pass on to each other.
+//! Choice of the hubs, and updates that boxes send each other.
 
 use super::{at, cases, listed};
 use gatepier::gateway::attempt::upstream::Upstream;
@@ -42,14 +42,14 @@
 }
 
 cases! {
-    hubs_stand_in_two_halls => {
+    hubs_are_in_two_halls => {
         let boxes = [entry("c", "yaba", 9), entry("a", "ikeja", 3), entry("b", "ikeja", 4)];
         expect_that!(hubs(&boxes), elements_are![eq("a"), eq("c")]);
     }
 
     boxes_with_the_widest_links_are_hubs => {
-        // Fails where the boxes registered longest are: behind a narrow link the whole of a
-        // large change arrived a second later, before any other box could have it.
+        // Guards against choosing the boxes registered longest: behind a narrow link, a large
+        // change arrived a second later, before any other box could get it.
         let wide = |name, hall, registered| BoxEntry {
             link_mbps: 200,
             ..entry(name, hall, registered)
@@ -60,13 +60,13 @@
         expect_that!(hubs(&boxes), elements_are![eq("b"), eq("c")]);
     }
 
-    one_hall_has_two_hubs_all_the_same => {
+    single_hall_has_two_hubs => {
         let boxes = [entry("b", "ikeja", 4), entry("a", "ikeja", 3)];
         expect_that!(hubs(&boxes), elements_are![eq("a"), eq("b")]);
         expect_that!(hubs(&[]), is_empty());
     }
 
-    box_behind_gets_what_came_since => {
+    box_behind_gets_the_missed_changes => {
         let mut mirror = Mirror::default();
         mirror.apply(vec![item("a", 3), item("b", 5)], 5);
         let changes = mirror.changes_after(3, false);
@@ -75,7 +75,7 @@
         expect_that!(changes.revision, eq(5));
     }
 
-    box_that_knows_nothing_gets_everything => {
+    box_without_state_gets_a_snapshot => {
         let mut mirror = Mirror::default();
         mirror.apply(vec![item("a", 3), Item::deleted("b", 5)], 5);
         let changes = mirror.changes_after(0, false);
@@ -83,7 +83,7 @@
         expect_that!(keys(&changes.items), elements_are![eq(&"a")]);
     }
 
-    box_behind_hears_of_ends_that_a_listing_showed => {
+    box_behind_gets_deletions_found_by_a_snapshot => {
         let mut mirror = Mirror::default();
         mirror.apply(vec![item("a", 3), item("b", 4)], 4);
         mirror.apply_snapshot(vec![item("a", 3)], 9);
@@ -93,33 +93,33 @@
         expect_that!(behind.unpack(changes).unwrap().items[0].is_deleted(), eq(true));
     }
 
-    older_state_of_an_item_is_no_news => {
+    older_state_of_an_item_is_ignored => {
         let mut mirror = Mirror::default();
         mirror.apply(vec![item("a", 7)], 7);
         expect_that!(mirror.apply(vec![item("a", 6)], 6), is_empty());
         expect_that!(mirror.revision(), eq(7));
     }
 
-    listing_does_not_end_what_is_newer => {
+    snapshot_does_not_delete_newer_items => {
         let mut mirror = Mirror::default();
         mirror.apply(vec![item("a", 12)], 12);
         expect_that!(mirror.apply_snapshot(Vec::new(), 10), is_empty());
     }
 
-    reports_get_rarer_with_more_boxes => {
+    load_reports_are_rarer_with_more_boxes => {
         expect_that!(interval(3), le(Duration::from_millis(150)));
         expect_that!(interval(300), ge(Duration::from_secs(4)));
     }
 
-    load_of_other_boxes_is_seen_and_forgotten => {
+    load_of_other_boxes_counts_until_it_expires => {
         let mut state = ControlPlaneState::default();
         let update = Update::Upstream(Box::new(listed("i-1", "engine", "ikeja")));
         state.apply(update, at(0));
         let upstream = state.available_upstreams("engine", at(0)).remove(0);
-        let unread = upstream.begin_reading(Duration::from_millis(500));
+        let reading = upstream.begin_reading(Duration::from_millis(500));
         let counted = upstream.enter();
         let report = BoxLoad::of("other", &state);
-        drop((unread, counted));
+        drop((reading, counted));
         expect_that!(upstream.unread(at(0)), eq(Duration::ZERO));
         let mut loads = Loads::default();
         loads.take(report, at(0));
@@ -130,47 +130,47 @@
         expect_that!(upstream.unread(at(5000)), eq(Duration::ZERO));
     }
 
-    long_reads_are_told_to_a_bounded_number_of_boxes_in_turn => {
+    long_reads_are_sent_to_a_rotating_subset_of_bounded_size => {
         let boxes: Vec<SocketAddr> =
             (1..=5).map(|port| SocketAddr::from(([127, 0, 0, 1], port))).collect();
-        let mut turn = 0;
-        expect_that!(rotating_subset(boxes.clone(), 5, &mut turn).len(), eq(5));
-        let first = rotating_subset(boxes.clone(), 3, &mut turn);
-        let second = rotating_subset(boxes.clone(), 3, &mut turn);
-        let ports = |told: &[SocketAddr]| told.iter().map(SocketAddr::port).collect::<Vec<_>>();
+        let mut offset = 0;
+        expect_that!(rotating_subset(boxes.clone(), 5, &mut offset).len(), eq(5));
+        let first = rotating_subset(boxes.clone(), 3, &mut offset);
+        let second = rotating_subset(boxes.clone(), 3, &mut offset);
+        let ports = |boxes: &[SocketAddr]| boxes.iter().map(SocketAddr::port).collect::<Vec<_>>();
         expect_that!(ports(&first), eq(&vec![1, 2, 3]));
         expect_that!(ports(&second), eq(&vec![4, 5, 1]));
     }
 
-    long_read_of_another_box_counts_at_once_until_it_is_over => {
-        // Fails where only reports tell of it: with 67 boxes they come once a second, and
+    long_read_of_another_box_counts_from_its_start_to_its_end => {
+        // Guards against counting only load reports: with 67 boxes they arrive once a second, and
         // boxes queued long prompts behind each other at one engine.
         let mut state = ControlPlaneState::default();
         let update = Update::Upstream(Box::new(listed("i-1", "engine", "ikeja")));
         state.apply(update, at(0));
         let upstream = state.available_upstreams("engine", at(0)).remove(0);
-        let told = LongReads::default();
-        told.note("other", &upstream, Duration::from_millis(6));
-        told.note("other", &upstream, Duration::from_millis(500));
-        let told = futures::executor::block_on(told.next());
-        expect_that!(told.len(), eq(1));
+        let outgoing = LongReads::default();
+        outgoing.note("other", &upstream, Duration::from_millis(6));
+        outgoing.note("other", &upstream, Duration::from_millis(500));
+        let sent = futures::executor::block_on(outgoing.next());
+        expect_that!(sent.len(), eq(1));
         let mut loads = Loads::default();
-        loads.take_long_read(told[0], &state, at(0));
+        loads.take_long_read(sent[0], &state, at(0));
         expect_that!(upstream.unread(at(0)), eq(Duration::from_millis(500)));
         expect_that!(upstream.unread(at(250)), eq(Duration::from_millis(250)));
         expect_that!(upstream.unread(at(600)), eq(Duration::ZERO));
     }
 
-    long_reads_that_nobody_is_told_of_do_not_pile_up => {
-        // A box that cannot bind its socket to others serves on alone, and kept every long read of
-        // its life to be told one day. What is old by then says nothing any more.
+    unsent_long_reads_do_not_accumulate => {
+        // Guards against an unbounded queue: a box that cannot bind its socket for peers keeps
+        // serving, and kept every long read since its start. Old ones are of no use.
         let upstream = Upstream::new(listed("i-1", "engine", "ikeja"));
-        let untold = LongReads::default();
+        let outgoing = LongReads::default();
         for number in 0..100_000 {
-            untold.note("this", &upstream, Duration::from_millis(200 + number));
+            outgoing.note("this", &upstream, Duration::from_millis(200 + number));
         }
-        let told = futures::executor::block_on(untold.next());
-        expect_that!(told.len(), le(1000));
-        expect_that!(told.last().map(LongRead::reading), some(eq(Duration::from_millis(100_199))));
+        let sent = futures::executor::block_on(outgoing.next());
+        expect_that!(sent.len(), le(1000));
+        expect_that!(sent.last().map(LongRead::reading), some(eq(Duration::from_millis(100_199))));
     }
 }
--- a/tests/gateway/upstream_restarts.rs
+++ b/tests/gateway/upstream_restarts.rs
@@ -1,5 +1,5 @@
-//! An upstream that starts again under its id is another one, and an entry that cannot be
-//! read names none.
+//! A restarted upstream with the same id is a new incarnation, and an invalid entry disables its
+//! upstream.
 
 use super::{at, cases, listed};
 use gatepier::gateway::attempt::upstream::Upstream;
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-fn born(start: u64) -> ListedUpstream {
+fn entry_started_at(start: u64) -> ListedUpstream {
     ListedUpstream {
         born: Some(start),
         ..listed("i-1", "engine", "ikeja")
@@ -25,7 +25,7 @@
     state.apply(Update::Upstream(Box::new(listed)), at(0))
 }
 
-fn open(state: &ControlPlaneState) -> Vec<Rc<Upstream>> {
+fn available(state: &ControlPlaneState) -> Vec<Rc<Upstream>> {
     state.available_upstreams("engine", at(0))
 }
 
@@ -36,21 +36,21 @@
     }
 }
 
-/// Writes of one entry, in the store's order, that end in a certain state.
+/// A write of the entry, by the state that it leaves.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Written {
+enum EntryState {
     Ready(u64),
     Draining(u64),
-    Spoilt,
-    Gone,
+    Invalid,
+    Deleted,
 }
 
-impl Written {
+impl EntryState {
     fn draw(rng: &mut StdRng, start: u64) -> Self {
         match rng.random_range(0..5) {
             0 => Self::Draining(start),
-            1 => Self::Spoilt,
-            2 => Self::Gone,
+            1 => Self::Invalid,
+            2 => Self::Deleted,
             _ => Self::Ready(start),
         }
     }
@@ -59,8 +59,8 @@
         let text = match self {
             Self::Ready(start) => Some(format!("ready {start}")),
             Self::Draining(start) => Some(format!("draining {start}")),
-            Self::Spoilt => Some(String::new()),
-            Self::Gone => None,
+            Self::Invalid => Some(String::new()),
+            Self::Deleted => None,
         };
         Item {
             key: "upstreams/i-1".to_owned(),
@@ -71,8 +71,8 @@
     }
 }
 
-/// Reads an item as an adapter does.
-fn read(item: &Item) -> Update {
+/// Decodes an item as an adapter does.
+fn decode(item: &Item) -> Update {
     let Some(value) = &item.value else {
         return Update::UpstreamGone("i-1".to_owned());
     };
@@ -82,202 +82,204 @@
     };
     Update::Upstream(Box::new(ListedUpstream {
         draining: state == "draining",
-        ..born(start.parse().unwrap())
+        ..entry_started_at(start.parse().unwrap())
     }))
 }
 
-/// Tells a box of items as hubs do: in any order, some of them twice.
-fn tell(items: &[Item], rng: &mut StdRng) -> ControlPlaneState {
-    let mut told: Vec<Item> = items.to_vec();
-    told.extend(items.iter().filter(|_| rng.random_ratio(1, 3)).cloned());
-    told.shuffle(rng);
+/// Delivers items to a box as hubs do: in any order, some of them twice.
+fn deliver(items: &[Item], rng: &mut StdRng) -> ControlPlaneState {
+    let mut delivered: Vec<Item> = items.to_vec();
+    delivered.extend(items.iter().filter(|_| rng.random_ratio(1, 3)).cloned());
+    delivered.shuffle(rng);
     let mut mirror = Mirror::default();
     let mut state = ControlPlaneState::default();
-    for item in told {
+    for item in delivered {
         let revision = item.revision;
-        for news in mirror.apply(vec![item], revision) {
-            state.apply(read(&news), at(0));
+        for new_item in mirror.apply(vec![item], revision) {
+            state.apply(decode(&new_item), at(0));
         }
     }
     state
 }
 
-/// The orders of events that the property is tried on, by boxes that hear of them.
-const HISTORIES: u64 = 300;
-const BOXES: [usize; 5] = [6, 30, 91, 300, 1000];
+/// The number of random histories to try, and the fleet sizes for the agreement test.
+const HISTORY_COUNT: u64 = 300;
+const FLEET_SIZES: [usize; 5] = [6, 30, 91, 300, 1000];
 
 cases! {
-    upstream_that_starts_again_is_not_blamed_for_its_former_life => {
-        // Fails where an id stands for one upstream for good: the new life rested, counted as
-        // failing and busy, and was expected to read what the former one had been sent.
+    restarted_upstream_has_a_clean_record => {
+        // Guards against records kept by id: the new incarnation was suspended, counted as failing
+        // and busy, and was expected to read what the previous one had been sent.
         let mut state = ControlPlaneState::default();
-        list(&mut state, born(1000));
-        let former = open(&state).remove(0);
-        let _running = former.enter();
-        let _reading = former.begin_reading(Duration::from_secs(2));
-        former.unconnectable(at(0));
-        former.lapse(at(0));
+        list(&mut state, entry_started_at(1000));
+        let previous = available(&state).remove(0);
+        let _running = previous.enter();
+        let _reading = previous.begin_reading(Duration::from_secs(2));
+        previous.unconnectable(at(0));
+        previous.lapse(at(0));
 
-        let change = list(&mut state, born(2000));
-        let reborn = open(&state).remove(0);
-        expect_that!(change, eq(&Change::UpstreamReborn(reborn.life().clone())));
-        expect_that!(reborn.rests(at(0)), eq(false));
-        expect_that!(reborn.needs_connection(), eq(false));
-        expect_that!(reborn.failure_rate(at(0)), eq(0.0));
-        expect_that!(reborn.outstanding(), eq(0));
-        expect_that!(reborn.unread(at(0)), eq(Duration::ZERO));
-        expect_that!(reborn.lapsed_at(), none());
+        let change = list(&mut state, entry_started_at(2000));
+        let restarted = available(&state).remove(0);
+        expect_that!(change, eq(&Change::UpstreamReborn(restarted.life().clone())));
+        expect_that!(restarted.rests(at(0)), eq(false));
+        expect_that!(restarted.needs_connection(), eq(false));
+        expect_that!(restarted.failure_rate(at(0)), eq(0.0));
+        expect_that!(restarted.outstanding(), eq(0));
+        expect_that!(restarted.unread(at(0)), eq(Duration::ZERO));
+        expect_that!(restarted.lapsed_at(), none());
     }
 
-    same_life_that_is_listed_anew_keeps_what_is_known_of_it => {
+    relisted_incarnation_keeps_its_record => {
         let mut state = ControlPlaneState::default();
-        list(&mut state, born(1000));
-        open(&state).remove(0).unconnectable(at(0));
-        list(&mut state, ListedUpstream { slots: 9, ..born(1000) });
-        expect_that!(open(&state)[0].rests(at(0)), eq(true));
+        list(&mut state, entry_started_at(1000));
+        available(&state).remove(0).unconnectable(at(0));
+        list(&mut state, ListedUpstream { slots: 9, ..entry_started_at(1000) });
+        expect_that!(available(&state)[0].rests(at(0)), eq(true));
     }
 
-    what_other_boxes_had_at_the_former_life_does_not_load_the_new_one => {
-        // Fails where reports name upstreams by their id: long after the crash the new life
-        // looked as full as the former one had been.
+    load_reported_for_the_previous_incarnation_does_not_count => {
+        // Guards against load reports by id: long after the crash, the new incarnation looked as
+        // full as the previous one had been.
         let mut state = ControlPlaneState::default();
-        list(&mut state, born(1000));
-        let former = open(&state).remove(0);
-        let _running = former.enter();
+        list(&mut state, entry_started_at(1000));
+        let previous = available(&state).remove(0);
+        let _running = previous.enter();
         let reported = BoxLoad::of("other", &state);
         let long_reads = LongReads::default();
-        long_reads.note("other", &former, Duration::from_secs(1));
+        long_reads.note("other", &previous, Duration::from_secs(1));
         let long_read = futures::executor::block_on(long_reads.next()).remove(0);
 
-        list(&mut state, born(2000));
-        let reborn = open(&state).remove(0);
+        list(&mut state, entry_started_at(2000));
+        let restarted = available(&state).remove(0);
         let mut loads = Loads::default();
         loads.take(reported, at(0));
         loads.take_long_read(long_read, &state, at(0));
         loads.spread(&state, at(0));
-        expect_that!(reborn.occupancy(at(0)), eq(0));
-        expect_that!(reborn.unread(at(0)), eq(Duration::ZERO));
+        expect_that!(restarted.occupancy(at(0)), eq(0));
+        expect_that!(restarted.unread(at(0)), eq(Duration::ZERO));
     }
 
-    stray_answer_to_a_try_at_the_former_life_leaves_the_new_one_listed => {
-        // Fails where a misdirected try drops whatever has the id by then.
+    late_misdirected_answer_does_not_remove_the_new_incarnation => {
+        // Guards against a misdirected attempt that removes whichever incarnation has the id by
+        // then.
         let mut state = ControlPlaneState::default();
-        list(&mut state, born(1000));
-        let former = open(&state).remove(0);
-        list(&mut state, born(2000));
-        state.remove_upstream(former.life());
-        expect_that!(open(&state).len(), eq(1));
-        let reborn = open(&state).remove(0);
-        state.remove_upstream(reborn.life());
-        expect_that!(open(&state).len(), eq(0));
+        list(&mut state, entry_started_at(1000));
+        let previous = available(&state).remove(0);
+        list(&mut state, entry_started_at(2000));
+        state.remove_upstream(previous.life());
+        expect_that!(available(&state).len(), eq(1));
+        let restarted = available(&state).remove(0);
+        state.remove_upstream(restarted.life());
+        expect_that!(available(&state).len(), eq(0));
     }
 
-    drained_id_that_is_ready_again_is_used => {
+    drained_upstream_that_restarts_is_used => {
         let mut state = ControlPlaneState::default();
-        list(&mut state, ListedUpstream { draining: true, ..born(1000) });
-        expect_that!(open(&state).len(), eq(0));
-        list(&mut state, born(2000));
-        expect_that!(open(&state).len(), eq(1));
+        list(&mut state, ListedUpstream { draining: true, ..entry_started_at(1000) });
+        expect_that!(available(&state).len(), eq(0));
+        list(&mut state, entry_started_at(2000));
+        expect_that!(available(&state).len(), eq(1));
     }
 
-    upstream_whose_clock_was_set_back_is_used_in_its_newest_life => {
+    upstream_whose_clock_was_set_back_is_used_in_its_newest_incarnation => {
         let mut state = ControlPlaneState::default();
-        list(&mut state, born(2000));
-        list(&mut state, born(1000));
-        expect_that!(open(&state)[0].life().born, some(eq(1000)));
+        list(&mut state, entry_started_at(2000));
+        list(&mut state, entry_started_at(1000));
+        expect_that!(available(&state)[0].life().born, some(eq(1000)));
     }
 
-    spoilt_entry_names_no_upstream_and_is_reported_once => {
-        // Fails where the last good entry stays in force.
+    invalid_entry_disables_the_upstream_and_is_reported_once => {
+        // Guards against keeping the last valid entry in force.
         let mut state = ControlPlaneState::default();
-        list(&mut state, born(1000));
+        list(&mut state, entry_started_at(1000));
         list(&mut state, listed("i-2", "engine", "ikeja"));
         let change = state.apply(faulty("i-1"), at(0));
         expect_that!(matches!(change, Change::UpstreamFaulty { .. }), eq(true));
         expect_that!(state.apply(faulty("i-1"), at(0)), eq(&Change::Nothing));
         expect_that!(state.faulty_upstream_count(), eq(1));
-        expect_that!(open(&state).len(), eq(1));
+        expect_that!(available(&state).len(), eq(1));
 
-        list(&mut state, born(1000));
+        list(&mut state, entry_started_at(1000));
         expect_that!(state.faulty_upstream_count(), eq(0));
-        expect_that!(open(&state).len(), eq(2));
+        expect_that!(available(&state).len(), eq(2));
         state.apply(faulty("i-1"), at(0));
         state.apply(Update::UpstreamGone("i-1".to_owned()), at(0));
         expect_that!(state.faulty_upstream_count(), eq(0));
     }
 
-    entry_that_does_not_tell_the_birth_any_more_is_spoilt => {
+    entry_that_lost_its_start_time_is_invalid => {
         let mut state = ControlPlaneState::default();
-        list(&mut state, born(1000));
+        list(&mut state, entry_started_at(1000));
         let change = list(&mut state, listed("i-1", "engine", "ikeja"));
         expect_that!(matches!(change, Change::UpstreamFaulty { .. }), eq(true));
-        expect_that!(open(&state).len(), eq(0));
+        expect_that!(available(&state).len(), eq(0));
     }
 
-    no_order_of_telling_uses_a_gone_life_or_forgets_a_living_one => {
-        for seed in 0..HISTORIES {
+    any_delivery_order_leads_to_the_newest_incarnation => {
+        for seed in 0..HISTORY_COUNT {
             let mut rng = StdRng::seed_from_u64(seed);
             let mut start = 1000;
-            let mut written = Vec::new();
+            let mut writes = Vec::new();
             for revision in 1..rng.random_range(2..9u64) {
-                // A start may be told with a clock that was set back.
+                // The upstream may start with a clock that was set back.
                 start = match rng.random_range(0..4) {
                     0 => start + 500,
                     1 => start - 10,
                     _ => start,
                 };
-                written.push(Written::draw(&mut rng, start).item(revision));
+                writes.push(EntryState::draw(&mut rng, start).item(revision));
             }
-            let state = tell(&written, &mut rng);
-            let newest = read(written.last().unwrap());
+            let state = deliver(&writes, &mut rng);
+            let newest = decode(writes.last().unwrap());
             let expected = match newest {
                 Update::Upstream(listed) if !listed.draining => Some(listed.born),
                 _ => None,
             };
-            let used = open(&state).first().map(|upstream| upstream.life().born);
+            let used = available(&state).first().map(|upstream| upstream.life().born);
             assert_that!(used, eq(expected), "seed {seed}");
         }
     }
 
-    all_boxes_agree_on_the_living_after_a_storm_of_rebirths => {
-        for boxes in BOXES {
+    all_boxes_agree_on_the_incarnation_after_many_restarts => {
+        for boxes in FLEET_SIZES {
             let mut rng = StdRng::seed_from_u64(boxes as u64);
-            let written: Vec<Item> = (1..=12u64)
-                .map(|revision| Written::draw(&mut rng, 1000 + revision / 3).item(revision))
-                .chain([Written::Ready(3000).item(13)])
+            let writes: Vec<Item> = (1..=12u64)
+                .map(|revision| EntryState::draw(&mut rng, 1000 + revision / 3).item(revision))
+                .chain([EntryState::Ready(3000).item(13)])
                 .collect();
             for _ in 0..boxes {
-                let state = tell(&written, &mut rng);
-                let lives: Vec<Option<u64>> =
-                    open(&state).iter().map(|upstream| upstream.life().born).collect();
-                assert_that!(lives, eq(&vec![Some(3000)]), "{boxes} boxes");
+                let state = deliver(&writes, &mut rng);
+                let start_times: Vec<Option<u64>> =
+                    available(&state).iter().map(|upstream| upstream.life().born).collect();
+                assert_that!(start_times, eq(&vec![Some(3000)]), "{boxes} boxes");
             }
         }
     }
 
-    // Guards against entries that bring back an upstream which has said that it leaves.
-    life_that_leaves_by_its_word_is_never_open_again => {
+    // Guards against later entries that make an upstream available again after it announced that it
+    // leaves.
+    incarnation_that_announced_leaving_is_never_used_again => {
         let mut state = ControlPlaneState::default();
-        list(&mut state, born(1));
-        let life = born(1).life();
+        list(&mut state, entry_started_at(1));
+        let life = entry_started_at(1).life();
         expect_that!(state.record_leaving(&life, at(0)), eq(true));
         expect_that!(state.record_leaving(&life, at(1)), eq(false));
-        expect_that!(open(&state), is_empty());
+        expect_that!(available(&state), is_empty());
         state.apply(faulty("i-1"), at(2));
-        list(&mut state, born(1));
-        expect_that!(open(&state), is_empty());
+        list(&mut state, entry_started_at(1));
+        expect_that!(available(&state), is_empty());
         state.apply(Update::UpstreamGone("i-1".to_owned()), at(3));
         state.prune_leaving(at(10_000));
-        list(&mut state, born(1));
-        expect_that!(open(&state), is_empty());
+        list(&mut state, entry_started_at(1));
+        expect_that!(available(&state), is_empty());
         expect_that!(state.is_serving(&life), eq(false));
-        list(&mut state, born(2));
-        expect_that!(open(&state).len(), eq(1));
+        list(&mut state, entry_started_at(2));
+        expect_that!(available(&state).len(), eq(1));
     }
 
-    lives_that_left_long_ago_are_forgotten => {
+    announcements_of_upstreams_that_left_long_ago_are_removed => {
         let mut state = ControlPlaneState::default();
-        let life = born(1).life();
+        let life = entry_started_at(1).life();
         state.record_leaving(&life, at(0));
         state.prune_leaving(at(601_000));
         expect_that!(state.record_leaving(&life, at(601_000)), eq(true));
