--- a/src/gateway/admit/job.rs
+++ b/src/gateway/admit/job.rs
@@ -381,12 +381,12 @@
     ) {
         self.tries.record(tried);
         if choice.upstream.is_leaving() {
-            gw.hear_leaving(&choice.upstream, Now::read());
+            gw.note_upstream_leaving(&choice.upstream, Now::read());
         }
         if matches!(tried, TryOutcome::NotRun(NotRunReason::OtherInstance)) {
             gw.knowledge
                 .borrow_mut()
-                .forget_upstream(choice.upstream.life());
+                .remove_upstream(choice.upstream.life());
         }
         match tried {
             TryOutcome::Unknown(UnknownReason::ConnectionBroken(_)) => {
--- /dev/null
+++ b/src/gateway/control/store_sync.rs
@@ -0,0 +1,403 @@
+//! Keeps a box's control-plane state in sync with the store.
+//!
+//! Two boxes, the hubs, call the store. A watch delivers changes as they happen, and a cheap
+//! linearizable read of the revision bounds the staleness of the state, since a watch may stay
+//! silent although changes are made. The other boxes poll a hub ([`crate::gateway::peers::hubs`])
+//! and call the store only when their state becomes too old. See `docs/design/platform.md`.
+
+use super::initial_sync::{HallBoxes, read_hall, run_initial_sync};
+use super::membership::maintain_registration;
+use super::mirror::Changes;
+use super::state::Change;
+use super::store::{ControlStore, Item, WatchResult};
+use crate::clock::Now;
+use crate::gateway::Gateway;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::sleep;
+
+/// How long one watch call waits. The store answers a watch at once when something changes, so this
+/// only bounds how long a dead connection is held.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
+/// The pause between two watch calls, which lets changes accumulate, since each call has a price.
+const WATCH_GAP: Duration = Duration::from_millis(120);
+/// The pause after the first failed call. Rejected calls have a price too.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
+/// The longest pause of a hub between failed calls; the pause doubles with each failure.
+const MAX_HUB_BACKOFF: Duration = Duration::from_millis(1000);
+/// The longest pause of any other box between failed calls. Such a box polls the hubs and some
+/// other boxes several times a second and learns from them when the store is back; during an
+/// outage, the retries of 83 such boxes were most of the cost of store calls
+/// (docs/design/platform.md).
+const MAX_BACKOFF: Duration = Duration::from_millis(3000);
+/// The age of the state at which a hub checks the store's revision. Operators' changes have to be
+/// in force within two seconds of their acknowledgement, even while a watch is silent. The state of
+/// the other boxes is older by a poll interval and the network delay, and has to stay below
+/// [`crate::gateway::settings::Bounds::own_check_age`] even if one datagram is lost. At 0.9 s it
+/// did not, and 67 boxes made 240 avoidable store calls in 27 s.
+const HUB_CHECK_AGE: Duration = Duration::from_millis(650);
+/// How often the age of the state is checked.
+const AGE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// The most changes applied together that are logged one by one. A starting box learns of all
+/// upstreams and boxes, 750 where 295 boxes start together; a line for each would displace other
+/// lines from the log queue.
+const MAX_LOGGED_CHANGES: usize = 100;
+/// How often expired state is removed.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(500);
+/// How long a read of missed changes may wait, given that a revision check has shown that there are
+/// some.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(50);
+/// How long the watch may take to deliver changes whose existence a revision check has shown.
+const WATCH_GRACE: Duration = Duration::from_millis(150);
+
+/// How many page reads may fail during a full read by the staleness check before it gives up until
+/// the next check.
+const MAX_PAGE_FAILURES_PER_CHECK: u32 = 3;
+/// The longest time to wait for the box's own registration before the initial sync. Registering
+/// takes two calls of 4 ms, and a box that reads afterwards knows the hubs from the start.
+const REGISTRATION_TIMEOUT: Duration = Duration::from_millis(100);
+/// How often the wait looks for the registration.
+const REGISTRATION_POLL_INTERVAL: Duration = Duration::from_millis(4);
+
+/// Runs the initial sync and then keeps the state in sync for as long as the process lives.
+pub async fn sync_with_store(gw: Rc<Gateway>, store: Rc<dyn ControlStore>) {
+    let hall = register_and_read_hall(&gw, &store).await;
+    run_initial_sync(&gw, &*store, hall).await;
+    tokio::join!(watch(&gw, &*store), check_staleness(&gw, &*store));
+}
+
+/// Registers the box and returns the boxes registered in its hall.
+///
+/// A restarted box reads the hall first to find the registration of its previous process. If no box
+/// is registered, because all leases have expired or the fleet starts for the first time, it reads
+/// the hall again after registering.
+async fn register_and_read_hall(
+    gw: &Rc<Gateway>,
+    store: &Rc<dyn ControlStore>,
+) -> Option<HallBoxes> {
+    let mut hall = None;
+    if !gw.settings().is_first_start {
+        hall = read_hall(gw, &**store).await;
+    }
+    let previous = hall
+        .as_ref()
+        .and_then(|hall| hall.previous_registration(gw));
+    actix_rt::spawn(maintain_registration(gw.clone(), store.clone(), previous));
+    await_registration(gw).await;
+    match hall {
+        Some(hall) if !hall.is_empty() => Some(hall),
+        _ => read_hall(gw, &**store).await,
+    }
+}
+
+async fn await_registration(gw: &Gateway) {
+    let registered = async {
+        while gw.lease.get().is_none() {
+            sleep(REGISTRATION_POLL_INTERVAL).await;
+        }
+    };
+    if tokio::time::timeout(REGISTRATION_TIMEOUT, registered)
+        .await
+        .is_err()
+    {
+        log::info!("this box is not registered yet, starting the initial sync anyway");
+    }
+}
+
+/// Periodically removes expired state for as long as the process lives.
+pub async fn expire_old_state(gw: Rc<Gateway>) {
+    loop {
+        sleep(EXPIRY_INTERVAL).await;
+        let now = Now::read();
+        let mut state = gw.knowledge.borrow_mut();
+        for change in state.remove_lapsed_upstreams(now) {
+            gw.telemetry
+                .learned(&change, "lapse", gw.mirror.borrow().revision());
+        }
+        gw.telemetry.aged(state.age(now), state.lag(now));
+        state.prune_leaving(now);
+        gw.telemetry.faulty_upstreams(state.faulty_upstream_count());
+        drop(state);
+        gw.connections.close_stale(now);
+        gw.sessions.borrow_mut().remove_expired(now);
+    }
+}
+
+/// Applies items to the mirror and to the control-plane state.
+pub fn apply_changes(gw: &Gateway, store: &dyn ControlStore, changes: Changes, source: &str) {
+    let now = Now::read();
+    let revision = changes.revision;
+    let mut mirror = gw.mirror.borrow_mut();
+    let new_items = match changes.is_snapshot {
+        true => mirror.apply_snapshot(changes.items, revision),
+        false => mirror.apply(changes.items, revision),
+    };
+    drop(mirror);
+    let reached = gw.mirror.borrow().revision();
+    let mut state = gw.knowledge.borrow_mut();
+    state.record_store_contact(now);
+    let lag = state.lag(now);
+    let summarized = new_items.len() > MAX_LOGGED_CHANGES;
+    if summarized {
+        log::info!(source, revision, items = new_items.len(); "applied many changes at once");
+    }
+    for item in &new_items {
+        if let Some(update) = store.decode(item) {
+            let change = state.apply(update, now);
+            if !(summarized && change.is_addition()) {
+                gw.telemetry.learned(&change, source, revision);
+            }
+            if let Change::Routes(version) = change {
+                let bytes = item.value.as_ref().map_or(0, Vec::len);
+                gw.telemetry
+                    .in_force(version, source, bytes, lag, state.age(now));
+            }
+        }
+    }
+    state.record_reached_revision(reached);
+    if !new_items.is_empty() {
+        gw.news.notify_waiters();
+    }
+}
+
+/// Applies some of the items that lead to a revision, without marking the revision as reached.
+///
+/// A box that still waits for a large item uses the small ones meanwhile: an upstream that leaves
+/// must get no new requests after two to three seconds.
+pub fn apply_partial_changes(
+    gw: &Gateway,
+    store: &dyn ControlStore,
+    changes: Changes,
+    source: &str,
+) {
+    let partial = Changes {
+        revision: 0,
+        is_snapshot: false,
+        ..changes
+    };
+    apply_changes(gw, store, partial, source);
+}
+
+fn apply_items(
+    gw: &Gateway,
+    store: &dyn ControlStore,
+    items: Vec<Item>,
+    revision: u64,
+    source: &str,
+) {
+    let changes = Changes {
+        after: gw.mirror.borrow().revision(),
+        revision,
+        is_snapshot: false,
+        items,
+    };
+    apply_changes(gw, store, changes, source);
+}
+
+/// Reads the complete store contents, retrying until it succeeds.
+pub async fn read_snapshot(gw: &Gateway, store: &dyn ControlStore) {
+    try_read_snapshot(gw, store, u32::MAX).await;
+}
+
+/// Reads the complete store contents page by page; returns false after `max_failures` failures.
+///
+/// A failed page is retried on its own instead of restarting from the first page: where every third
+/// call was rejected, a read of six pages never completed in one go
+/// (platform/tests/first_reads.rs).
+async fn try_read_snapshot(gw: &Gateway, store: &dyn ControlStore, max_failures: u32) -> bool {
+    let mut snapshot = SnapshotRead::start(Now::read());
+    let mut backoff = Backoff::new();
+    let mut failures = 0;
+    while !snapshot.is_complete {
+        if snapshot.read_page(gw, store).await {
+            continue;
+        }
+        failures += 1;
+        if failures >= max_failures {
+            return false;
+        }
+        backoff.pause(MAX_HUB_BACKOFF).await;
+    }
+    snapshot.apply(gw, store);
+    true
+}
+
+/// A paged read of the complete store contents in progress.
+struct SnapshotRead {
+    started_at: Duration,
+    items: Vec<Item>,
+    /// The revision of the first page. Later pages are newer; a watch that continues from the first
+    /// page's revision misses nothing.
+    revision: Option<u64>,
+    next_page: Option<String>,
+    is_complete: bool,
+}
+
+impl SnapshotRead {
+    fn start(now: Now) -> Self {
+        Self {
+            started_at: now.monotonic,
+            items: Vec::new(),
+            revision: None,
+            next_page: None,
+            is_complete: false,
+        }
+    }
+
+    /// Reads the next page; returns false if the store did not answer.
+    async fn read_page(&mut self, gw: &Gateway, store: &dyn ControlStore) -> bool {
+        gw.telemetry.store_called("list");
+        let page = match store.read_page(self.next_page.as_deref()).await {
+            Ok(page) => page,
+            Err(err) => {
+                gw.store_failed(&err, Now::read());
+                return false;
+            }
+        };
+        gw.store_answered(Now::read());
+        self.revision.get_or_insert(page.revision);
+        self.items.extend(page.items);
+        self.is_complete = page.next.is_none();
+        self.next_page = page.next;
+        true
+    }
+
+    fn apply(self, gw: &Gateway, store: &dyn ControlStore) {
+        let changes = Changes {
+            after: 0,
+            revision: self.revision.unwrap_or_default(),
+            is_snapshot: true,
+            items: self.items,
+        };
+        apply_changes(gw, store, changes, "list");
+        gw.confirm(self.started_at);
+    }
+}
+
+/// The pause after the next failure; doubles with each one.
+struct Backoff(Duration);
+
+impl Backoff {
+    fn new() -> Self {
+        Self(INITIAL_BACKOFF)
+    }
+
+    async fn pause(&mut self, max: Duration) {
+        sleep(self.0).await;
+        self.0 = (self.0 * 2).min(max);
+    }
+}
+
+/// Watches the store while this box is a hub.
+async fn watch(gw: &Gateway, store: &dyn ControlStore) {
+    let mut backoff = Backoff::new();
+    loop {
+        sleep(WATCH_GAP).await;
+        if !gw.is_hub() {
+            continue;
+        }
+        let after = gw.mirror.borrow().revision();
+        gw.telemetry.store_called("watch");
+        match store.watch(after, WATCH_TIMEOUT).await {
+            Ok(WatchResult::Changes(items, revision)) => {
+                gw.store_answered(Now::read());
+                backoff = Backoff::new();
+                apply_items(gw, store, items, revision, "watch");
+            }
+            Ok(WatchResult::HistoryCompacted) => {
+                log::warn!(after; "the store's history is compacted, reading a full snapshot");
+                read_snapshot(gw, store).await;
+            }
+            Err(err) => {
+                gw.store_failed(&err, Now::read());
+                backoff.pause(MAX_HUB_BACKOFF).await;
+            }
+        }
+    }
+}
+
+/// Bounds the staleness of the state by checking the store's revision when the state becomes too
+/// old.
+async fn check_staleness(gw: &Gateway, store: &dyn ControlStore) {
+    let mut backoff = Backoff::new();
+    loop {
+        sleep(AGE_CHECK_INTERVAL).await;
+        let age = gw.knowledge.borrow().age(Now::read());
+        let max_age = match gw.is_hub() {
+            true => HUB_CHECK_AGE,
+            false => gw.settings().bounds.own_check_age(),
+        };
+        if age.is_some_and(|age| age < max_age) || is_transfer_in_progress(gw, store) {
+            continue;
+        }
+        match check_revision(gw, store).await {
+            true => backoff = Backoff::new(),
+            false if gw.is_hub() => backoff.pause(MAX_HUB_BACKOFF).await,
+            false => backoff.pause(MAX_BACKOFF).await,
+        }
+    }
+}
+
+/// Compares the store's revision with the local one and catches up if needed; returns false if the
+/// store did not answer.
+async fn check_revision(gw: &Gateway, store: &dyn ControlStore) -> bool {
+    let sent = Now::read();
+    gw.telemetry.store_called("check");
+    let revision = match store.read_revision().await {
+        Ok(revision) => revision,
+        Err(err) => {
+            gw.store_failed(&err, Now::read());
+            return false;
+        }
+    };
+    let now = Now::read();
+    gw.store_answered(now);
+    if is_behind(gw, revision) {
+        gw.knowledge
+            .borrow_mut()
+            .record_newer_revision(revision, now);
+        sleep(WATCH_GRACE).await;
+    }
+    if is_behind(gw, revision) && is_transfer_in_progress(gw, store) {
+        log::info!(revision; "this box is behind, a transfer of the missing data is in progress");
+        return true;
+    }
+    if is_behind(gw, revision) && !catch_up(gw, store).await {
+        return false;
+    }
+    if is_behind(gw, revision) {
+        log::info!(revision; "this box is still behind after reading the changes, reading a full snapshot");
+        return try_read_snapshot(gw, store, MAX_PAGE_FAILURES_PER_CHECK).await;
+    }
+    gw.confirm(sent.monotonic);
+    true
+}
+
+/// Returns whether a transfer to this box is in progress that may contain what it lacks. A second
+/// copy at the same time would delay both.
+fn is_transfer_in_progress(gw: &Gateway, store: &dyn ControlStore) -> bool {
+    gw.asking.is_fetching() || store.is_receiving_response()
+}
+
+fn is_behind(gw: &Gateway, revision: u64) -> bool {
+    gw.mirror.borrow().revision() < revision
+}
+
+/// Reads the missed changes from the store, which is much less than the complete contents; returns
+/// false if the store did not answer. The store may have compacted its history, or omit changes.
+async fn catch_up(gw: &Gateway, store: &dyn ControlStore) -> bool {
+    let after = gw.mirror.borrow().revision();
+    log::info!(after; "this box is behind, reading the missed changes");
+    gw.telemetry.store_called("changes");
+    match store.watch(after, CATCH_UP_TIMEOUT).await {
+        Ok(WatchResult::Changes(items, revision)) => {
+            apply_items(gw, store, items, revision, "changes")
+        }
+        Ok(WatchResult::HistoryCompacted) => log::warn!(after; "the store's history is compacted"),
+        Err(err) => {
+            gw.store_failed(&err, Now::read());
+            return false;
+        }
+    }
+    true
+}
--- a/src/gateway/place/candidates.rs
+++ b/src/gateway/place/candidates.rs
@@ -101,7 +101,7 @@
     /// including those that are in back-off.
     fn allowed_upstreams(&self, service: &str, session: &str, now: Now) -> Vec<Rc<Upstream>> {
         let knowledge = self.knowledge.borrow();
-        let mut open = knowledge.open_upstreams(service, now);
+        let mut open = knowledge.available_upstreams(service, now);
         let rollout = knowledge.rollout(service);
         if rollout.is_none() {
             return open;
--- a/src/gateway/place/peer_loads.rs
+++ b/src/gateway/place/peer_loads.rs
@@ -3,7 +3,7 @@
 use super::choose::stable_hash;
 use crate::clock::Now;
 use crate::gateway::attempt::upstream::{PeerLoad, Upstream};
-use crate::gateway::control::knowledge::Knowledge;
+use crate::gateway::control::state::ControlPlaneState;
 use crate::gateway::peers::outbox::Outbox;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -94,7 +94,7 @@
 
 impl BoxLoad {
     /// Collects what a box has in flight.
-    pub fn collect(reporter: &str, knowledge: &Knowledge) -> Self {
+    pub fn collect(reporter: &str, knowledge: &ControlPlaneState) -> Self {
         let busy = knowledge
             .upstreams()
             .filter(|upstream| upstream.outstanding() > 0);
@@ -130,7 +130,12 @@
     }
 
     /// Adds a long prefill announced by another box; the box's next report replaces it.
-    pub fn add_long_prefill(&mut self, long_prefill: LongPrefill, knowledge: &Knowledge, now: Now) {
+    pub fn add_long_prefill(
+        &mut self,
+        long_prefill: LongPrefill,
+        knowledge: &ControlPlaneState,
+        now: Now,
+    ) {
         let upstream = UpstreamReport {
             upstream: long_prefill.upstream,
             pending_prefill_ms: long_prefill.prefill_ms,
@@ -147,7 +152,7 @@
 
     /// Drops expired reports and updates each upstream with what the other boxes have in flight
     /// there.
-    pub fn apply_to_upstreams(&mut self, knowledge: &Knowledge, now: Now) {
+    pub fn apply_to_upstreams(&mut self, knowledge: &ControlPlaneState, now: Now) {
         let lifetime = report_interval(self.reports.len()) * REPORT_LIFETIME_INTERVALS;
         self.reports
             .retain(|_, (_, at)| now.monotonic.saturating_sub(*at) < lifetime);
--- a/src/gateway/versions/local_statistics.rs
+++ b/src/gateway/versions/local_statistics.rs
@@ -213,7 +213,7 @@
 pub fn sampled_request(rollout: &Rollout, version: &str, now: Now) -> Option<SampledRequest> {
     let (order, _) = rollout.order.as_ref()?;
     let elapsed = rollout.elapsed(now)?;
-    let is_running = rollout.running(order).is_some();
+    let is_running = rollout.running_record(order).is_some();
     (is_running && elapsed <= order.duration).then(|| SampledRequest {
         order: order.revision,
         window: window_at(elapsed, order.duration),
--- a/src/gateway/versions/recording.rs
+++ b/src/gateway/versions/recording.rs
@@ -10,8 +10,8 @@
 use crate::gateway::admit::job::Job;
 use crate::gateway::attempt::exchange::{Answer, TryOutcome};
 use crate::gateway::attempt::upstream::Upstream;
-use crate::gateway::control::leading::{is_in_line, target_name};
 use crate::gateway::control::rollout::Rollout;
+use crate::gateway::control::rollout_leader::{may_advance_rollouts, target_version_name};
 use crate::gateway::place::choose::PlacementChoice;
 use crate::gateway::place::prefill_rate;
 use std::time::Duration;
@@ -125,7 +125,7 @@
         let mut versions = self.versions.borrow_mut();
         versions.retain_orders(|order| orders.contains(&order));
         drop(versions);
-        let uses_stored_evidence = is_in_line(self, now);
+        let uses_stored_evidence = may_advance_rollouts(self, now);
         for rollout in knowledge.rollouts().values() {
             self.evaluate_rollout(rollout, uses_stored_evidence, now);
         }
@@ -142,7 +142,7 @@
         now: Now,
     ) -> Option<Verdict> {
         let (order, _) = rollout.order.as_ref()?;
-        let record = rollout.running(order)?;
+        let record = rollout.running_record(order)?;
         let time = RolloutTime {
             elapsed: rollout.elapsed(now)?,
             duration: order.duration,
@@ -150,7 +150,7 @@
         let bound = self.settings().bounds.exposure;
         let status = RolloutStatus {
             order: order.revision,
-            target: &target_name(order),
+            target: &target_version_name(order),
             time,
             stage_window: window_at(stage_start(record), order.duration).saturating_add(1),
             is_past_first_stage: record.permille
--- a/src/gateway/versions/rollout.rs
+++ b/src/gateway/versions/rollout.rs
@@ -8,8 +8,10 @@
 use super::latency_evidence::EvidenceLevel;
 use super::monitor::Verdict;
 use crate::clock::{Now, millis};
-use crate::gateway::control::rollout::{Rollout, TIME_WRITTEN_EACH};
-use crate::gateway::control::store::{ALL_SESSIONS, RolloutOrder, RolloutRecord, RolloutState};
+use crate::gateway::control::rollout::{ELAPSED_WRITE_STEP_PERCENT, Rollout};
+use crate::gateway::control::store::{
+    ALL_SESSIONS_PERMILLE, RolloutOrder, RolloutRecord, RolloutState,
+};
 use crate::gateway::place::choose::stable_hash;
 use std::time::Duration;
 
@@ -18,7 +20,7 @@
 /// would be late by as long as that lasts.
 const RECORD_OVERDUE_AFTER: Duration = Duration::from_millis(1500);
 /// All sessions in thousandths, in the type of a session hash.
-const SESSION_BUCKETS: u64 = ALL_SESSIONS as u64;
+const SESSION_BUCKETS: u64 = ALL_SESSIONS_PERMILLE as u64;
 /// The size of the first middle stage, in thousandths of the sessions, at which the new engines
 /// process the prompts of the sessions that move to them. The operators' share may allow less.
 pub const MIGRATION_STAGE_PERMILLE: u32 = 250;
@@ -216,7 +218,7 @@
 
 /// Returns the time since the order at which the record has to be written again.
 fn next_write_due(order: &RolloutOrder, record: &RolloutRecord) -> Duration {
-    Duration::from_millis(record.elapsed_ms) + order.duration / 100 * TIME_WRITTEN_EACH
+    Duration::from_millis(record.elapsed_ms) + order.duration / 100 * ELAPSED_WRITE_STEP_PERCENT
 }
 
 /// Returns whether the leading box has not written the record for so long that another box should.
@@ -267,7 +269,7 @@
                 && progress.bound.allows_all_sessions(verdict.requests, time);
             (
                 verdict.stage_evidence >= required || is_within_exposure,
-                ALL_SESSIONS,
+                ALL_SESSIONS_PERMILLE,
             )
         }
         at if at >= migration => (
--- a/tests/gateway/freshness.rs
+++ b/tests/gateway/freshness.rs
@@ -1,11 +1,11 @@
-//! Knowledge never goes back, and its age is never underestimated.
+//! The control-plane state never goes back, and its age is never underestimated.
 
 use super::{at, cases, listed};
 use gatepier::gateway::admit::routes::{Caller, Organisation, RouteTable};
 use gatepier::gateway::admit::serve::check;
 use gatepier::gateway::answer::refusal::Why;
 use gatepier::gateway::attempt::retries::RetryBound;
-use gatepier::gateway::control::knowledge::{Change, Knowledge, Proof};
+use gatepier::gateway::control::state::{Change, ConfigFreshness, ControlPlaneState};
 use gatepier::gateway::control::store::Update;
 use gatepier::gateway::settings::{Bounds, UnprovedKeys};
 use gatepier::gateway::versions::exposure::ExposureBound;
@@ -23,8 +23,8 @@
     Update::Upstream(Box::new(listed(instance, "engine", "ikeja")))
 }
 
-fn open(knowledge: &Knowledge, millis: u64) -> usize {
-    knowledge.open_upstreams("engine", at(millis)).len()
+fn available(state: &ControlPlaneState, millis: u64) -> usize {
+    state.available_upstreams("engine", at(millis)).len()
 }
 
 fn organisation() -> Organisation {
@@ -35,9 +35,9 @@
 }
 
 cases! {
-    own_check_follows_from_the_bound_for_changes => {
-        // Fails where every fleet calls the store after 1.5 s: where changes have four
-        // seconds, 295 boxes called while their hubs were reading everything anew.
+    own_check_age_follows_from_the_configuration_bound => {
+        // Guards against a fixed age of 1.5 s: with a configuration bound of four seconds, 295
+        // boxes called the store needlessly while their hubs were reading a full snapshot.
         let of = |config: u64| Bounds { config: Duration::from_millis(config), ..bounds() };
         expect_that!(of(2000).own_check_age(), eq(Duration::from_millis(1500)));
         expect_that!(of(1000).own_check_age(), eq(Duration::from_millis(750)));
@@ -46,164 +46,165 @@
         }
     }
 
-    known_key_is_served_on_without_proof_where_operators_bear_it => {
+    known_key_is_accepted_without_confirmation_if_operators_allow_it => {
         let organisation = organisation();
         let known = Caller::Known(&organisation);
         let known = Some(known);
-        expect_that!(check(known, Proof::None, UnprovedKeys::ServeKnown), ok(anything()));
-        expect_that!(check(known, Proof::None, UnprovedKeys::Refuse), err(eq(Why::Stale)));
+        expect_that!(check(known, ConfigFreshness::Unconfirmed, UnprovedKeys::ServeKnown), ok(anything()));
+        expect_that!(check(known, ConfigFreshness::Unconfirmed, UnprovedKeys::Refuse), err(eq(Why::Stale)));
         for unproved in [UnprovedKeys::ServeKnown, UnprovedKeys::Refuse] {
-            for proof in [Proof::Newest, Proof::KeysHold] {
+            for proof in [ConfigFreshness::Current, ConfigFreshness::KeysValid] {
                 expect_that!(check(known, proof, unproved), ok(anything()));
             }
         }
     }
 
-    unknown_key_is_told_to_come_back_until_it_is_proved_unknown => {
+    unknown_key_gets_a_retryable_refusal_until_confirmed_unknown => {
         for unproved in [UnprovedKeys::ServeKnown, UnprovedKeys::Refuse] {
-            let proved = check(Some(Caller::Unknown), Proof::Newest, unproved);
+            let proved = check(Some(Caller::Unknown), ConfigFreshness::Current, unproved);
             expect_that!(proved, err(eq(Why::UnknownKey)));
-            for proof in [Proof::KeysHold, Proof::None, Proof::Outdated] {
+            for proof in [ConfigFreshness::KeysValid, ConfigFreshness::Unconfirmed, ConfigFreshness::Outdated] {
                 let unsure = check(Some(Caller::Unknown), proof, unproved);
                 expect_that!(unsure, err(eq(Why::Stale)));
             }
         }
     }
 
-    missing_route_is_told_to_come_back_until_it_is_proved_missing => {
-        // Fails where a box says 404 for whatever it does not know: routes that had been
-        // confirmed three seconds before were refused for good by boxes that lacked them.
+    missing_route_gets_a_retryable_refusal_until_confirmed_missing => {
+        // Guards against answering 404 for every unknown route: routes confirmed three seconds
+        // before were finally refused by boxes that had not received them yet.
         for unproved in [UnprovedKeys::ServeKnown, UnprovedKeys::Refuse] {
-            expect_that!(check(None, Proof::Newest, unproved), err(eq(Why::NoRoute)));
-            for proof in [Proof::KeysHold, Proof::None, Proof::Outdated] {
+            expect_that!(check(None, ConfigFreshness::Current, unproved), err(eq(Why::NoRoute)));
+            for proof in [ConfigFreshness::KeysValid, ConfigFreshness::Unconfirmed, ConfigFreshness::Outdated] {
                 expect_that!(check(None, proof, unproved), err(eq(Why::Stale)));
             }
         }
     }
 
-    box_that_lacks_something_newer_for_too_long_serves_nothing_by_what_it_has => {
+    box_that_is_behind_for_too_long_serves_no_requests => {
         let organisation = organisation();
         for caller in [Caller::Known(&organisation), Caller::Anonymous, Caller::Unknown] {
             for unproved in [UnprovedKeys::ServeKnown, UnprovedKeys::Refuse] {
-                let outdated = check(Some(caller), Proof::Outdated, unproved);
+                let outdated = check(Some(caller), ConfigFreshness::Outdated, unproved);
                 expect_that!(outdated, err(eq(Why::Stale)));
             }
         }
-        expect_that!(check(Some(Caller::Anonymous), Proof::None, UnprovedKeys::Refuse), ok(anything()));
-    }
-
-    proof_is_the_newest_only_while_nothing_newer_is_known => {
-        let mut knowledge = Knowledge::default();
-        expect_that!(knowledge.proof(&bounds(), at(0)), eq(Proof::None));
-        knowledge.confirm(at(0).monotonic);
-        expect_that!(knowledge.proof(&bounds(), at(2700)), eq(Proof::Newest));
-        expect_that!(knowledge.proof(&bounds(), at(2900)), eq(Proof::KeysHold));
-        expect_that!(knowledge.proof(&bounds(), at(4500)), eq(Proof::None));
-        knowledge.confirm(at(5000).monotonic);
-        knowledge.hear_of_newer(9, at(5000));
-        expect_that!(knowledge.proof(&bounds(), at(5100)), eq(Proof::KeysHold));
-        knowledge.reach(8);
-        expect_that!(knowledge.proof(&bounds(), at(5100)), eq(Proof::KeysHold));
-        knowledge.reach(9);
-        expect_that!(knowledge.proof(&bounds(), at(5100)), eq(Proof::Newest));
-    }
-
-    something_newer_that_does_not_come_outdates_what_is_known => {
-        let mut knowledge = Knowledge::default();
+        expect_that!(check(Some(Caller::Anonymous), ConfigFreshness::Unconfirmed, UnprovedKeys::Refuse), ok(anything()));
+    }
+
+    freshness_is_current_only_while_no_newer_revision_is_known => {
+        let mut state = ControlPlaneState::default();
+        expect_that!(state.freshness(&bounds(), at(0)), eq(ConfigFreshness::Unconfirmed));
+        state.confirm(at(0).monotonic);
+        expect_that!(state.freshness(&bounds(), at(2700)), eq(ConfigFreshness::Current));
+        expect_that!(state.freshness(&bounds(), at(2900)), eq(ConfigFreshness::KeysValid));
+        expect_that!(state.freshness(&bounds(), at(4500)), eq(ConfigFreshness::Unconfirmed));
+        state.confirm(at(5000).monotonic);
+        state.record_newer_revision(9, at(5000));
+        expect_that!(state.freshness(&bounds(), at(5100)), eq(ConfigFreshness::KeysValid));
+        state.record_reached_revision(8);
+        expect_that!(state.freshness(&bounds(), at(5100)), eq(ConfigFreshness::KeysValid));
+        state.record_reached_revision(9);
+        expect_that!(state.freshness(&bounds(), at(5100)), eq(ConfigFreshness::Current));
+    }
+
+    missing_newer_revision_makes_the_state_outdated => {
+        let mut state = ControlPlaneState::default();
         for millis in (0..=2000).step_by(400) {
-            knowledge.hear_of_newer(9 + millis, at(millis));
-            knowledge.confirm(at(millis).monotonic);
+            state.record_newer_revision(9 + millis, at(millis));
+            state.confirm(at(millis).monotonic);
         }
-        expect_that!(knowledge.proof(&bounds(), at(1700)), eq(Proof::KeysHold));
-        expect_that!(knowledge.proof(&bounds(), at(1900)), eq(Proof::Outdated));
-        // Reaching what was heard of first is enough: more follows all the time.
-        knowledge.reach(9);
-        expect_that!(knowledge.lag(at(2000)), none());
+        expect_that!(state.freshness(&bounds(), at(1700)), eq(ConfigFreshness::KeysValid));
+        expect_that!(state.freshness(&bounds(), at(1900)), eq(ConfigFreshness::Outdated));
+        // Reaching the revision that was reported first is enough, since newer ones follow all the
+        // time.
+        state.record_reached_revision(9);
+        expect_that!(state.lag(at(2000)), none());
     }
 
-    box_that_was_cut_off_serves_on_by_what_it_has => {
-        let mut knowledge = Knowledge::default();
-        knowledge.hear_of_newer(9, at(0));
-        knowledge.confirm(at(0).monotonic);
-        expect_that!(knowledge.proof(&bounds(), at(1900)), eq(Proof::Newest));
+    disconnected_box_keeps_serving_with_its_state => {
+        let mut state = ControlPlaneState::default();
+        state.record_newer_revision(9, at(0));
+        state.confirm(at(0).monotonic);
+        expect_that!(state.freshness(&bounds(), at(1900)), eq(ConfigFreshness::Current));
     }
 
-    older_configuration_is_not_taken => {
-        let mut knowledge = Knowledge::default();
-        knowledge.apply(routes(7), at(0));
-        expect_that!(knowledge.apply(routes(6), at(1)), eq(&Change::Nothing));
-        expect_that!(knowledge.routes().unwrap().version, eq(7));
-        expect_that!(knowledge.apply(routes(9), at(2)), eq(&Change::Routes(9)));
+    older_configuration_is_ignored => {
+        let mut state = ControlPlaneState::default();
+        state.apply(routes(7), at(0));
+        expect_that!(state.apply(routes(6), at(1)), eq(&Change::Nothing));
+        expect_that!(state.routes().unwrap().version, eq(7));
+        expect_that!(state.apply(routes(9), at(2)), eq(&Change::Routes(9)));
     }
 
-    unreadable_item_changes_nothing => {
-        let mut knowledge = Knowledge::default();
-        knowledge.apply(routes(7), at(0));
+    undecodable_item_changes_nothing => {
+        let mut state = ControlPlaneState::default();
+        state.apply(routes(7), at(0));
         let faulty = Update::Faulty { item: "x".to_owned(), reason: "y".to_owned() };
-        knowledge.apply(faulty, at(1));
-        expect_that!(knowledge.routes().unwrap().version, eq(7));
+        state.apply(faulty, at(1));
+        expect_that!(state.routes().unwrap().version, eq(7));
     }
 
-    age_counts_from_the_question => {
-        let mut knowledge = Knowledge::default();
-        expect_that!(knowledge.age(at(5)), none());
-        knowledge.confirm(at(100).monotonic);
-        // A proof that was asked for earlier says less and changes nothing.
-        knowledge.confirm(at(50).monotonic);
-        expect_that!(knowledge.age(at(400)).unwrap().as_millis(), eq(300));
+    age_counts_from_the_time_of_the_request => {
+        let mut state = ControlPlaneState::default();
+        expect_that!(state.age(at(5)), none());
+        state.confirm(at(100).monotonic);
+        // A confirmation requested earlier proves less and changes nothing.
+        state.confirm(at(50).monotonic);
+        expect_that!(state.age(at(400)).unwrap().as_millis(), eq(300));
     }
 
-    draining_upstream_takes_nothing_new => {
-        let mut knowledge = Knowledge::default();
-        knowledge.apply(upstream("i-1"), at(0));
+    draining_upstream_gets_no_new_requests => {
+        let mut state = ControlPlaneState::default();
+        state.apply(upstream("i-1"), at(0));
         let mut draining = listed("i-1", "engine", "ikeja");
         draining.draining = true;
-        knowledge.apply(Update::Upstream(Box::new(draining)), at(1));
-        expect_that!(open(&knowledge, 2), eq(0));
+        state.apply(Update::Upstream(Box::new(draining)), at(1));
+        expect_that!(available(&state, 2), eq(0));
     }
 
-    entry_that_vanishes_from_a_settled_store_is_gone_at_once => {
-        let mut knowledge = Knowledge::default();
-        knowledge.apply(upstream("i-1"), at(0));
-        knowledge.apply(Update::UpstreamGone("i-1".to_owned()), at(1));
-        expect_that!(open(&knowledge, 2), eq(0));
+    entry_missing_from_a_healthy_store_is_removed_at_once => {
+        let mut state = ControlPlaneState::default();
+        state.apply(upstream("i-1"), at(0));
+        state.apply(Update::UpstreamGone("i-1".to_owned()), at(1));
+        expect_that!(available(&state, 2), eq(0));
     }
 
-    entry_that_lapsed_with_the_store_is_used_for_two_seconds => {
-        // Fails where the end of the grace is looked at only when tidying: a server that
-        // had left got requests three seconds later.
-        let mut knowledge = lapsed_after_an_outage();
-        expect_that!(open(&knowledge, 7900), eq(1));
-        expect_that!(open(&knowledge, 8200), eq(0));
-        expect_that!(knowledge.drop_lapsed(at(8200)).len(), eq(1));
+    entry_that_expired_during_an_outage_is_used_for_two_seconds => {
+        // Guards against checking the end of the grace period only in the periodic expiry: an
+        // upstream that had left got requests for three seconds more.
+        let mut state = lapsed_after_an_outage();
+        expect_that!(available(&state, 7900), eq(1));
+        expect_that!(available(&state, 8200), eq(0));
+        expect_that!(state.remove_lapsed_upstreams(at(8200)).len(), eq(1));
     }
 
-    entry_that_comes_back_is_used_on => {
-        let mut knowledge = lapsed_after_an_outage();
-        knowledge.apply(upstream("i-1"), at(6500));
-        expect_that!(open(&knowledge, 19_000), eq(1));
+    expired_entry_that_returns_stays_in_use => {
+        let mut state = lapsed_after_an_outage();
+        state.apply(upstream("i-1"), at(6500));
+        expect_that!(available(&state, 19_000), eq(1));
     }
 
-    grace_begins_once_however_often_the_store_is_heard_of => {
-        let mut knowledge = lapsed_after_an_outage();
-        knowledge.hear_of_store(at(7000));
-        knowledge.hear_of_store(at(8000));
-        expect_that!(open(&knowledge, 8200), eq(0));
+    grace_period_starts_once_per_outage => {
+        let mut state = lapsed_after_an_outage();
+        state.record_store_contact(at(7000));
+        state.record_store_contact(at(8000));
+        expect_that!(available(&state, 8200), eq(0));
     }
 
-    entry_that_vanishes_while_others_reach_the_store_is_gone_at_once => {
-        // Fails where a hub that alone is turned away by the store makes all boxes keep
-        // what vanishes: servers that had left got 38 requests on a grown day.
-        let mut knowledge = Knowledge::default();
-        knowledge.apply(upstream("i-1"), at(0));
-        knowledge.confirm(at(4500).monotonic);
-        knowledge.hear_of_store(at(6000));
-        knowledge.apply(Update::UpstreamGone("i-1".to_owned()), at(6000));
-        expect_that!(open(&knowledge, 6001), eq(0));
+    entry_missing_while_other_boxes_reach_the_store_is_removed_at_once => {
+        // Guards against a single hub that the store rejects making all boxes keep missing entries:
+        // upstreams that had left got 38 requests in a run on a large deployment.
+        let mut state = ControlPlaneState::default();
+        state.apply(upstream("i-1"), at(0));
+        state.confirm(at(4500).monotonic);
+        state.record_store_contact(at(6000));
+        state.apply(Update::UpstreamGone("i-1".to_owned()), at(6000));
+        expect_that!(available(&state, 6001), eq(0));
     }
 }
 
-/// Returns bounds of operators.
+/// Returns typical operators' bounds.
 fn bounds() -> Bounds {
     Bounds {
         grace: Duration::from_secs(8),
@@ -224,12 +225,12 @@
     }
 }
 
-/// Returns what a box knows when an entry vanished with six seconds of outage.
-fn lapsed_after_an_outage() -> Knowledge {
-    let mut knowledge = Knowledge::default();
-    knowledge.apply(upstream("i-1"), at(0));
-    knowledge.confirm(at(0).monotonic);
-    knowledge.hear_of_store(at(6000));
-    knowledge.apply(Update::UpstreamGone("i-1".to_owned()), at(6000));
-    knowledge
+/// Returns the state of a box after an entry went missing during a store outage of six seconds.
+fn lapsed_after_an_outage() -> ControlPlaneState {
+    let mut state = ControlPlaneState::default();
+    state.apply(upstream("i-1"), at(0));
+    state.confirm(at(0).monotonic);
+    state.record_store_contact(at(6000));
+    state.apply(Update::UpstreamGone("i-1".to_owned()), at(6000));
+    state
 }
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -3,21 +3,21 @@
 mod boundary;
 mod datagrams;
 mod escalation;
+mod fetch_planning;
 mod freshness;
+mod initial_sync;
 mod packing;
-mod passing_on;
+mod peer_updates;
 mod placement;
 mod quarantine;
-mod rebirths;
 mod refusals;
 mod retries;
 mod retry_after;
 mod rollout_simulation;
 mod rollouts;
 mod routes;
-mod spreading;
-mod starting;
 mod streams;
+mod upstream_restarts;
 mod warm_up;
 
 use gatepier::clock::{Now, WallTime};
--- a/tests/gateway/rollouts.rs
+++ b/tests/gateway/rollouts.rs
@@ -1,8 +1,8 @@
 //! Rollouts: which version serves a session, and when a version is rejected.
 
 use super::{at, cases};
-use gatepier::gateway::control::knowledge::Knowledge;
 use gatepier::gateway::control::rollout::Rollout;
+use gatepier::gateway::control::state::ControlPlaneState;
 use gatepier::gateway::control::store::{RolloutOrder, RolloutRecord, RolloutState, Update};
 use gatepier::gateway::versions::exposure::{ExposureBound, RolloutTime};
 use gatepier::gateway::versions::latency_evidence::{EvidenceLevel, LatencyEvidence};
@@ -49,10 +49,10 @@
 
 /// Returns what a box knows of a rollout.
 fn rollout_with(record: Option<RolloutRecord>) -> Rollout {
-    let mut knowledge = Knowledge::default();
+    let mut knowledge = ControlPlaneState::default();
     knowledge.apply(Update::RolloutOrdered(order()), at(0));
     if let Some(record) = record {
-        knowledge.apply(Update::RolloutStage(record, 11), at(0));
+        knowledge.apply(Update::RolloutRecorded(record, 11), at(0));
     }
     knowledge.rollout("engine").unwrap().clone()
 }
@@ -329,13 +329,13 @@
     elapsed_time_continues_after_all_boxes_restart => {
         // Boxes that were restarted in turn each counted on from the last record: 22.5 s into a
         // rollout of 20 s they took it for 10.3 s old, and a bad version was still in use.
-        let mut knowledge = Knowledge::default();
+        let mut knowledge = ControlPlaneState::default();
         knowledge.apply(Update::RolloutOrdered(order()), at(0));
         let first = record(RolloutState::Running, 45, 2 * SECOND);
-        knowledge.apply(Update::RolloutStage(first, 11), at(0));
-        knowledge.hear_elapsed(order().revision, 20 * SECOND, at(1000));
-        knowledge.hear_elapsed(order().revision, 9 * SECOND, at(1500));
-        knowledge.hear_elapsed(99, 90 * SECOND, at(1600));
+        knowledge.apply(Update::RolloutRecorded(first, 11), at(0));
+        knowledge.apply_reported_elapsed(order().revision, 20 * SECOND, at(1000));
+        knowledge.apply_reported_elapsed(order().revision, 9 * SECOND, at(1500));
+        knowledge.apply_reported_elapsed(99, 90 * SECOND, at(1600));
         let elapsed = knowledge.rollout("engine").unwrap().elapsed(at(2000));
         expect_that!(elapsed, some(eq(21 * SECOND)));
     }
@@ -346,30 +346,30 @@
         // the last write and a kill, 0.7 s each, was lost. The version was in use for as much
         // longer, once beyond the operators' limits.
         let started = || {
-            let mut knowledge = Knowledge::default();
+            let mut knowledge = ControlPlaneState::default();
             knowledge.apply(Update::RolloutOrdered(order()), at(0));
             let written = RolloutRecord { unseen_ms: 600, ..record(RolloutState::Running, 45, 6 * SECOND) };
-            knowledge.apply(Update::RolloutStage(written, 11), at(0));
+            knowledge.apply(Update::RolloutRecorded(written, 11), at(0));
             knowledge
         };
-        let unobserved = |knowledge: &Knowledge, millis| knowledge.rollout("engine").unwrap().unseen(at(millis));
+        let unobserved = |knowledge: &ControlPlaneState, millis| knowledge.rollout("engine").unwrap().unseen(at(millis));
         let half_an_interval = order().duration / 40;
         let mut knowledge = started();
         expect_that!(unobserved(&knowledge, 0), eq(2 * half_an_interval));
         // Later records include it once.
         let mut next = record(RolloutState::Running, 45, 8 * SECOND);
         next.unseen_ms = 1200;
-        knowledge.apply(Update::RolloutStage(next, 12), at(2000));
+        knowledge.apply(Update::RolloutRecorded(next, 12), at(2000));
         expect_that!(unobserved(&knowledge, 2500), eq(2 * half_an_interval));
         // A box that was not restarted knows the time.
         let mut knowledge = started();
-        knowledge.hear_elapsed(order().revision, 6_700 * SECOND / 1000, at(100));
+        knowledge.apply_reported_elapsed(order().revision, 6_700 * SECOND / 1000, at(100));
         expect_that!(unobserved(&knowledge, 100), eq(half_an_interval));
         // A box that received the record when it was written has missed nothing.
-        let mut knowledge = Knowledge::default();
+        let mut knowledge = ControlPlaneState::default();
         knowledge.apply(Update::RolloutOrdered(order()), at(0));
         let first = record(RolloutState::Running, 45, 2 * SECOND);
-        knowledge.apply(Update::RolloutStage(first, 11), at(1700));
+        knowledge.apply(Update::RolloutRecorded(first, 11), at(1700));
         expect_that!(unobserved(&knowledge, 1700), eq(Duration::ZERO));
         let compared = record(RolloutState::Running, 400, 14 * SECOND);
         let state = |unobserved| {
