--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -26,7 +26,7 @@
 use crate::metrics::Metrics;
 use crate::store::StoreError;
 use admit::listen;
-use admit::routes::{EVEN_RANK, Route, RouteKind};
+use admit::routes::{NEUTRAL_RELATIVE_RANK, Route, RouteKind};
 use attempt::connect::Connections;
 use attempt::crash::{self, CrashWatch};
 use attempt::probe;
@@ -83,9 +83,9 @@
     /// How boxes pass on what the store holds.
     pub hubs: Hubs,
     /// What this box asks the hubs and fetches.
-    pub asking: Asking,
+    pub hub_queries: Asking,
     /// Rings when the store's items have changed.
-    pub news: Notify,
+    pub items_changed: Notify,
     /// Resting connections to upstreams.
     pub connections: Connections,
     /// Runs that broke off, whose upstreams may have crashed.
@@ -93,33 +93,33 @@
     /// Requests that crash their upstreams.
     pub quarantine: Quarantine,
     /// Upstreams that have said that they leave, by their hashes, to be told to other boxes.
-    pub leaving: Outbox<u32>,
+    pub leaving_upstreams: Outbox<u32>,
     /// The connections that callers have to this box.
-    pub callers: http_server::Connections,
-    /// The budgets of repeats by service; see [`Gateway::with_retries`].
-    retries: RefCell<HashMap<String, RetryWindow>>,
+    pub caller_connections: http_server::Connections,
+    /// The budgets of repeats by service; see [`Gateway::with_retry_window`].
+    retry_windows: RefCell<HashMap<String, RetryWindow>>,
     /// The versions of sessions.
     pub sessions: RefCell<Sessions>,
     /// When other boxes were heard of.
-    pub heard: RefCell<Heard>,
+    pub last_contacts: RefCell<Heard>,
     /// What was seen of versions under roll-out.
     pub versions: RefCell<VersionWatch>,
     /// How fast engines read prompts.
-    pub reading: ReadingRates,
+    pub reading_rates: ReadingRates,
     /// What the other boxes have under way.
-    pub loads: RefCell<Loads>,
+    pub peer_loads: RefCell<Loads>,
     /// Long reads that the other boxes have still to be told of.
     pub long_reads: LongReads,
     /// Log lines and metrics.
     pub telemetry: Telemetry,
     /// The name of this life of the box.
-    pub life: String,
+    pub incarnation: String,
     /// The lease under which the box is registered.
     pub lease: Cell<Option<u64>>,
-    started: Duration,
+    started_at: Duration,
     stopping_since: Cell<Option<Duration>>,
     in_flight: Rc<Cell<u32>>,
-    store_lost: Cell<Option<Duration>>,
+    store_lost_since: Cell<Option<Duration>>,
 }
 
 impl Gateway {
@@ -130,34 +130,34 @@
         metrics: &Metrics,
         now: Now,
     ) -> Rc<Self> {
-        let life = format!("{}.{}", settings.name, now.wall.0);
+        let incarnation = format!("{}.{}", settings.name, now.wall.0);
         Rc::new(Self {
-            sessions: RefCell::new(Sessions::new(settings.bounds.session)),
-            versions: RefCell::new(VersionWatch::new(&life)),
+            sessions: RefCell::new(Sessions::new(settings.bounds.session_idle_limit)),
+            versions: RefCell::new(VersionWatch::new(&incarnation)),
             settings: RefCell::new(Rc::new(settings)),
             headers,
             knowledge: RefCell::default(),
             mirror: RefCell::default(),
             hubs: Hubs::default(),
-            asking: Asking::default(),
-            news: Notify::new(),
+            hub_queries: Asking::default(),
+            items_changed: Notify::new(),
             connections: Connections::default(),
             crashes: CrashWatch::default(),
             quarantine: Quarantine::default(),
-            leaving: Outbox::default(),
-            callers: Default::default(),
-            retries: RefCell::default(),
-            loads: RefCell::default(),
-            heard: RefCell::default(),
+            leaving_upstreams: Outbox::default(),
+            caller_connections: Default::default(),
+            retry_windows: RefCell::default(),
+            peer_loads: RefCell::default(),
+            last_contacts: RefCell::default(),
             long_reads: LongReads::default(),
-            reading: ReadingRates::default(),
+            reading_rates: ReadingRates::default(),
             telemetry: Telemetry::new(metrics),
-            life,
+            incarnation,
             lease: Cell::new(None),
-            started: now.monotonic,
+            started_at: now.monotonic,
             stopping_since: Cell::new(None),
             in_flight: Rc::default(),
-            store_lost: Cell::new(None),
+            store_lost_since: Cell::new(None),
         })
     }
 
@@ -172,30 +172,32 @@
     }
 
     /// Returns how far down a route's rank is among those in force.
-    pub fn rank_part(&self, route: &Route) -> f64 {
+    pub fn relative_rank(&self, route: &Route) -> f64 {
         let knowledge = self.knowledge.borrow();
         let routes = knowledge.routes();
-        routes.map_or(EVEN_RANK, |routes| routes.rank_part(route.priority))
+        routes.map_or(NEUTRAL_RELATIVE_RANK, |routes| {
+            routes.relative_rank(route.priority)
+        })
     }
 
     /// Returns how long an engine of a service reads so many tokens for a model.
-    pub fn reading_time(&self, service: &str, model: Option<&str>, tokens: f64) -> Duration {
-        self.with_pace(service, model, |pace| self.reading.time(pace, tokens))
+    pub fn prompt_reading_time(&self, service: &str, model: Option<&str>, tokens: f64) -> Duration {
+        self.with_model_pace(service, model, |pace| self.reading_rates.time(pace, tokens))
     }
 
     /// Tells whether a model is the dearest of its service, or the only one.
-    pub fn is_dearest(&self, service: &str, model: Option<&str>) -> bool {
-        self.with_pace(service, model, |pace| pace.price_part >= 1.0)
+    pub fn is_most_expensive(&self, service: &str, model: Option<&str>) -> bool {
+        self.with_model_pace(service, model, |pace| pace.price_part >= 1.0)
     }
 
     /// Learns from a first event for which an engine read so many tokens and nothing else.
-    pub fn learn_rate(&self, service: &str, model: &str, tokens: f64, took: Duration) {
-        self.with_pace(service, Some(model), |pace| {
-            self.reading.learn(pace, tokens, took);
+    pub fn record_reading_rate(&self, service: &str, model: &str, tokens: f64, took: Duration) {
+        self.with_model_pace(service, Some(model), |pace| {
+            self.reading_rates.learn(pace, tokens, took);
         });
     }
 
-    fn with_pace<T>(
+    fn with_model_pace<T>(
         &self,
         service: &str,
         model: Option<&str>,
@@ -207,7 +209,7 @@
             .and_then(|routes| routes.services.get(service))
             .and_then(|service| service.engine.as_ref());
         let price_part = match (engine, model) {
-            (Some(engine), Some(model)) => engine.price_part(model),
+            (Some(engine), Some(model)) => engine.relative_price(model),
             _ => 1.0,
         };
         use_it(ModelPace {
@@ -217,8 +219,12 @@
     }
 
     /// Uses a service's budget of repeats, which begins with the service's first request.
-    pub fn with_retries<T>(&self, service: &str, use_it: impl FnOnce(&mut RetryWindow) -> T) -> T {
-        let mut windows = self.retries.borrow_mut();
+    pub fn with_retry_window<T>(
+        &self,
+        service: &str,
+        use_it: impl FnOnce(&mut RetryWindow) -> T,
+    ) -> T {
+        let mut windows = self.retry_windows.borrow_mut();
         let window = windows
             .entry(service.to_owned())
             .or_insert_with(|| RetryWindow::new(self.settings().bounds.retries));
@@ -229,23 +235,23 @@
     /// Waits until this box knows the operators' configuration and a proof of how new it is.
     ///
     /// News of another box may bring the configuration a little before the proof.
-    pub async fn await_first_knowledge(&self) {
+    pub async fn wait_for_first_config(&self) {
         loop {
             // Made before the look, so that no news in between is missed.
-            let news = self.news.notified();
+            let changed = self.items_changed.notified();
             if self.knowledge.borrow().is_proved() {
                 return;
             }
-            news.await;
+            changed.await;
         }
     }
 
     /// Returns how long a request may yet wait for the first configuration: not at all once
     /// the store has not answered, since that may last.
-    pub fn left_of_first_read(&self, waiting: FirstWait, now: Now) -> Duration {
-        match self.store_lost.get() {
+    pub fn remaining_startup_wait(&self, waiting: StartupWait, now: Now) -> Duration {
+        match self.store_lost_since.get() {
             Some(_) => Duration::ZERO,
-            None => waiting.left(self.started, now),
+            None => waiting.remaining(self.started_at, now),
         }
     }
 
@@ -257,16 +263,16 @@
 
     /// Records that everything acknowledged before a moment is known; the first time is news
     /// to whoever waits for it.
-    pub fn confirm(&self, as_of: Duration) {
+    pub fn confirm_fresh_as_of(&self, as_of: Duration) {
         let was_proved = self.knowledge.borrow().is_proved();
         self.knowledge.borrow_mut().confirm(as_of);
         if !was_proved {
-            self.news.notify_waiters();
+            self.items_changed.notify_waiters();
         }
     }
 
     /// Tells whether what the box knows is not older than this.
-    pub fn knows_within(&self, age: Duration, now: Now) -> bool {
+    pub fn has_knowledge_within(&self, age: Duration, now: Now) -> bool {
         let known = self.knowledge.borrow().age(now);
         known.is_some_and(|known| known < age)
     }
@@ -283,7 +289,7 @@
 
     /// Records a call that the store answered.
     pub fn store_answered(&self, now: Now) {
-        if let Some(since) = self.store_lost.take() {
+        if let Some(since) = self.store_lost_since.take() {
             let lost = now.monotonic.saturating_sub(since);
             log::info!(lost_ms = lost.as_millis() as u64; "the store answers again");
         }
@@ -291,9 +297,9 @@
 
     /// Records a call that the store did not answer.
     pub fn store_failed(&self, err: &StoreError, now: Now) {
-        let is_first = self.store_lost.get().is_none();
+        let is_first = self.store_lost_since.get().is_none();
         if is_first {
-            self.store_lost.set(Some(now.monotonic));
+            self.store_lost_since.set(Some(now.monotonic));
         }
         match is_first {
             true => log::warn!("the store is lost: {err}"),
@@ -304,7 +310,7 @@
     /// Tells whether this box calls the store for others: it is a hub, or nobody is
     /// registered yet.
     pub fn is_hub(&self) -> bool {
-        let own = self.settings().peers;
+        let own = self.settings().peer_addr;
         let knowledge = self.knowledge.borrow();
         let hubs = choose_hubs(knowledge.boxes());
         hubs.is_empty() || hubs.iter().any(|hub| hub.address == own)
@@ -312,7 +318,7 @@
 
     /// Returns the addresses of the other registered boxes, those registered longest first.
     pub fn other_boxes(&self) -> Vec<SocketAddr> {
-        let own = self.settings().peers;
+        let own = self.settings().peer_addr;
         let knowledge = self.knowledge.borrow();
         let boxes = knowledge.boxes_by_age().into_iter();
         let addresses = boxes.map(|entry| entry.address);
@@ -320,9 +326,9 @@
     }
 
     /// Counts a request in until the guard is dropped.
-    pub fn count_in(&self) -> InFlight {
+    pub fn track_request(&self) -> InFlightGuard {
         self.in_flight.set(self.in_flight.get() + 1);
-        InFlight(self.in_flight.clone())
+        InFlightGuard(self.in_flight.clone())
     }
 
     /// Returns the requests under way.
@@ -331,13 +337,13 @@
     }
 
     /// Begins to stop.
-    pub fn stop(&self, now: Now) {
+    pub fn begin_stopping(&self, now: Now) {
         self.stopping_since.set(Some(now.monotonic));
     }
 
     /// Returns how long the box has been up.
-    pub fn up_for(&self, now: Now) -> Duration {
-        now.monotonic.saturating_sub(self.started)
+    pub fn uptime(&self, now: Now) -> Duration {
+        now.monotonic.saturating_sub(self.started_at)
     }
 
     /// Tells whether the process is about to end.
@@ -346,11 +352,11 @@
     }
 
     /// Tells whether a request would perhaps outlast the process.
-    pub fn is_too_late_for(&self, kind: RouteKind, now: Now) -> bool {
+    pub fn is_too_late_to_admit(&self, kind: RouteKind, now: Now) -> bool {
         let Some(since) = self.stopping_since.get() else {
             return false;
         };
-        let time_to_end = self.settings().bounds.time_to_end();
+        let time_to_end = self.settings().bounds.max_stop_duration();
         let last = time_to_end.saturating_sub(LAST_TAKEN_BEFORE_END);
         let last = match kind.stream_gap() {
             Some(_) => last.min(LONG_REQUESTS_AFTER_STOP),
@@ -362,30 +368,30 @@
 
 /// A request that waits for the first configuration.
 #[derive(Debug, Clone, Copy)]
-pub struct FirstWait {
+pub struct StartupWait {
     /// When it was received.
     pub received: Duration,
     /// How long its caller waits; none where it does not say.
-    pub caller_waits: Option<Duration>,
+    pub caller_timeout: Option<Duration>,
 }
 
-impl FirstWait {
+impl StartupWait {
     /// Returns how long it may yet wait at a box that started at a moment.
-    pub fn left(self, started: Duration, now: Now) -> Duration {
-        let of_box = (started + FIRST_READ).saturating_sub(now.monotonic);
-        let Some(caller_waits) = self.caller_waits else {
+    pub fn remaining(self, started_at: Duration, now: Now) -> Duration {
+        let of_box = (started_at + FIRST_READ).saturating_sub(now.monotonic);
+        let Some(caller_timeout) = self.caller_timeout else {
             return of_box;
         };
-        let until = self.received + caller_waits / PART_FOR_FIRST_READ;
+        let until = self.received + caller_timeout / PART_FOR_FIRST_READ;
         of_box.min(until.saturating_sub(now.monotonic))
     }
 }
 
 /// Counts a request out when it ends, however it ends.
 #[derive(Debug)]
-pub struct InFlight(Rc<Cell<u32>>);
+pub struct InFlightGuard(Rc<Cell<u32>>);
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
@@ -418,9 +424,9 @@
     });
     let settings = gw.settings();
     log::info!(
-        box_name = gw.life.as_str(),
+        box_name = gw.incarnation.as_str(),
         hall = settings.hall.as_str(),
-        callers = settings.callers.to_string().as_str();
+        callers = settings.caller_addr.to_string().as_str();
         "started"
     );
     listen::reload_on_request(gw.clone(), reload)?;
--- a/src/gateway/admit/listen.rs
+++ b/src/gateway/admit/listen.rs
@@ -78,8 +78,8 @@
 
 /// Takes callers' connections in the background.
 pub fn serve_callers(gw: &Rc<Gateway>) -> Result<HttpServer<Accepting>> {
-    let listener = listen_shared(gw.settings().callers)?;
-    let connections = gw.callers.clone();
+    let listener = listen_shared(gw.settings().caller_addr)?;
+    let connections = gw.caller_connections.clone();
     let gw = gw.clone();
     HttpServer::start(listener, connections, move |taken| {
         actix_rt::spawn(serve_connection(gw.clone(), taken));
@@ -101,8 +101,8 @@
         Box::pin(async move { Ok::<_, Infallible>(serve(gw, req).await) })
     };
     let service = HttpService::build()
-        .keep_alive(limits.idle)
-        .client_request_timeout(limits.head)
+        .keep_alive(limits.idle_timeout)
+        .client_request_timeout(limits.header_timeout)
         .h1(handler);
     match service.new_service(()).await {
         Ok(service) => {
@@ -128,7 +128,7 @@
 /// Answers the balancer's question whether the box takes new connections, and serves
 /// metrics.
 pub fn serve_readiness(gw: &Rc<Gateway>, metrics: &Metrics) -> Result<()> {
-    let listener = listen(gw.settings().readiness)?;
+    let listener = listen(gw.settings().readiness_addr)?;
     let answering = gw.clone();
     actix_rt::spawn(async move {
         accept(&listener, |stream, peer| {
@@ -136,7 +136,7 @@
         })
         .await;
     });
-    if let Err(err) = metrics.serve(gw.settings().metrics) {
+    if let Err(err) = metrics.serve(gw.settings().metrics_addr) {
         log::error!("metrics are not served: {err}");
     }
     Ok(())
@@ -165,7 +165,7 @@
 /// end, where callers can go on elsewhere.
 pub async fn drain(gw: &Gateway, server: HttpServer<Accepting>, store: &dyn ControlStore) {
     let began = Now::read();
-    gw.stop(began);
+    gw.begin_stopping(began);
     // Connections are taken to the end: there is no successor on the same address.
     let _announced = server.announce();
     log::info!(in_flight = gw.in_flight(); "stopping: requests under way are finished");
@@ -174,7 +174,7 @@
     {
         log::warn!("the lease runs out by itself: {err}");
     }
-    let time_to_end = gw.settings().bounds.time_to_end();
+    let time_to_end = gw.settings().bounds.max_stop_duration();
     loop {
         let spent = Now::read().monotonic.saturating_sub(began.monotonic);
         let is_idle = gw.in_flight() == 0 && spent >= BALANCER_NOTICE;
--- a/src/gateway/admit/prompt.rs
+++ b/src/gateway/admit/prompt.rs
@@ -19,7 +19,7 @@
 
 impl Prompt {
     /// Returns the prompt's tokens as reading them takes time: long ones take longer.
-    pub fn reading_tokens(&self) -> f64 {
+    pub fn weighted_tokens(&self) -> f64 {
         let tokens = self.tokens as f64;
         tokens * (1.0 + tokens / ATTENTION_TOKENS)
     }
--- a/src/gateway/admit/job.rs
+++ b/src/gateway/admit/request.rs
@@ -6,7 +6,7 @@
 use crate::crash_ledger::{Part, Standing};
 use crate::fingerprint::Fingerprint;
 use crate::gateway::Gateway;
-use crate::gateway::answer::refusal::Ran;
+use crate::gateway::answer::refusal::Execution;
 use crate::gateway::attempt::connect::http1_types;
 use crate::gateway::attempt::crash::BrokenRun;
 use crate::gateway::attempt::exchange::{
@@ -41,7 +41,7 @@
 
 /// A request that was admitted, and what has come of it so far.
 #[derive(Debug)]
-pub struct Job {
+pub struct AdmittedRequest {
     /// The caller's id of this attempt.
     pub request_id: String,
     /// What tells that another send is the same request.
@@ -69,7 +69,7 @@
     /// The prompt, on routes to model engines.
     pub prompt: Prompt,
     /// The id of the session, or of the request where it belongs to none.
-    pub session: String,
+    pub session_id: String,
     /// Whether the router chooses the model.
     pub chooses_model: bool,
     /// What the tries so far prove.
@@ -94,7 +94,7 @@
 
 /// What one try asks for beyond the request itself.
 #[derive(Debug, Clone, Copy)]
-pub struct TryPlan<'a> {
+pub struct AttemptPlan<'a> {
     /// The model to name, where the router chooses.
     pub model: Option<&'a str>,
     /// The last event that the caller has, where a stream goes on.
@@ -107,7 +107,7 @@
 
 /// Why no try was made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoTry {
+pub enum NoAttempt {
     /// No upstream is left to ask.
     NoUpstream,
     /// No upstream takes a request of this box now, and the first one will after a while.
@@ -124,7 +124,7 @@
     OnTrial(Duration),
 }
 
-impl Job {
+impl AdmittedRequest {
     /// Returns the time that is left.
     pub fn left(&self, now: Now) -> Duration {
         self.deadline.saturating_sub(now.monotonic)
@@ -132,14 +132,14 @@
 
     /// Tells whether one more run is allowed by the route and by what already ran.
     pub fn may_run_again(&self) -> bool {
-        let repeatable = self.route.kind.is_repeatable() || self.tries.ran() == Ran::Nowhere;
-        repeatable && self.tries.runs() < self.route.attempts.max(1)
+        let repeatable = self.route.kind.is_repeatable() || self.tries.ran() == Execution::Never;
+        repeatable && self.tries.runs() < self.route.max_attempts.max(1)
     }
 
     /// Tells whether another upstream could be asked now: the route, what already ran and
     /// the budget allow it. An answer is not given up otherwise.
     pub fn can_repeat(&self, gw: &Gateway, now: Now) -> bool {
-        let has_room = gw.with_retries(&self.service, |window| {
+        let has_room = gw.with_retry_window(&self.service, |window| {
             window.has_room(Repeat::Failure, now)
         });
         has_room && self.may_run_again()
@@ -148,33 +148,40 @@
     /// Tells whether the next run is the last one that the route allows, so that cutting
     /// it off would end the request.
     pub fn has_last_run_left(&self) -> bool {
-        self.tries.runs() + 1 >= self.route.attempts.max(1)
+        self.tries.runs() + 1 >= self.route.max_attempts.max(1)
     }
 
     /// Tells whether a request that no upstream took should be offered once more after a
     /// pause, and not refused.
     pub fn should_wait(&self, gw: &Gateway, pause: Duration, now: Now) -> bool {
-        self.can_wait(pause, now) && !gw.candidates(&self.service, &self.session, now).is_empty()
+        self.can_wait(pause, now)
+            && !gw
+                .candidates(&self.service, &self.session_id, now)
+                .is_empty()
     }
 
     /// Tells whether a pause leaves the request among those that are still offered.
     pub fn can_wait(&self, pause: Duration, now: Now) -> bool {
         let waited = now.monotonic.saturating_sub(self.received);
-        self.may_run_again() && waited + pause < self.route.objective / OFFER_PART
+        self.may_run_again() && waited + pause < self.route.latency_objective / OFFER_PART
     }
 
     /// Chooses an upstream and makes one try there.
     ///
     /// A try that reached an upstream before makes this one a repeat, which the budget
     /// has to allow.
-    pub async fn try_once(&self, gw: &Gateway, plan: TryPlan<'_>) -> Result<Tried, NoTry> {
+    pub async fn run_attempt(
+        &self,
+        gw: &Gateway,
+        plan: AttemptPlan<'_>,
+    ) -> Result<Tried, NoAttempt> {
         let now = Now::read();
         let left = self.left(now);
         if left <= ANSWER_MARGIN {
-            return Err(NoTry::OutOfTime);
+            return Err(NoAttempt::OutOfTime);
         }
         self.admit_suspect(gw, now)?;
-        let mut candidates = gw.candidates(&self.service, &self.session, now);
+        let mut candidates = gw.candidates(&self.service, &self.session_id, now);
         let tried = self.tries.tried();
         if self.is_on_trial() {
             let seed = draw(&self.fingerprint.to_string());
@@ -185,7 +192,7 @@
         let choice = choice.ok_or_else(|| self.no_upstream(gw, now))?;
         let upstream = &choice.upstream;
         if !self.pay(gw, plan.repeat, now) {
-            return Err(NoTry::OutOfBudget);
+            return Err(NoAttempt::OutOfBudget);
         }
         self.tries.exclude(upstream);
         upstream.take_turn(now);
@@ -195,7 +202,8 @@
             tells_rate: choice.tells_rate(),
             may_reuse: self.route.kind.is_repeatable(),
         };
-        gw.long_reads.note(&gw.life, upstream, limits.reading);
+        gw.long_reads
+            .note(&gw.incarnation, upstream, limits.reading);
         let out = self.outgoing(gw, &choice, plan, now);
         let timed = gw.time_try(self, &choice, now);
         let tried = try_upstream(&gw.connections, &gw.headers, upstream, out, limits).await;
@@ -208,22 +216,22 @@
     }
 
     /// Tells why no upstream can be asked.
-    fn no_upstream(&self, gw: &Gateway, now: Now) -> NoTry {
+    fn no_upstream(&self, gw: &Gateway, now: Now) -> NoAttempt {
         if gw.is_evacuated(&self.service) {
-            return NoTry::Evacuated;
+            return NoAttempt::Evacuated;
         }
-        let pause = gw.shortest_pause(&self.service, &self.session, now);
-        pause.map_or(NoTry::NoUpstream, NoTry::Paused)
+        let pause = gw.shortest_pause(&self.service, &self.session_id, now);
+        pause.map_or(NoAttempt::NoUpstream, NoAttempt::Paused)
     }
 
     /// Decides whether a request that may have crashed upstreams is sent.
-    fn admit_suspect(&self, gw: &Gateway, now: Now) -> Result<(), NoTry> {
+    fn admit_suspect(&self, gw: &Gateway, now: Now) -> Result<(), NoAttempt> {
         match (
             gw.quarantine.standing(self.fingerprint, now),
             self.trial.get(),
         ) {
             (Standing::Clear, _) => Ok(()),
-            (Standing::Quarantined, _) => Err(NoTry::Quarantined),
+            (Standing::Quarantined, _) => Err(NoAttempt::Quarantined),
             // The trial is this request's own, and no upstream has run it yet.
             (Standing::Suspect | Standing::OnTrial(_), Trial::Open) => Ok(()),
             (Standing::Suspect, Trial::None | Trial::Over) => {
@@ -231,7 +239,7 @@
                 self.trial.set(Trial::Open);
                 Ok(())
             }
-            (Standing::OnTrial(left), Trial::None | Trial::Over) => Err(NoTry::OnTrial(left)),
+            (Standing::OnTrial(left), Trial::None | Trial::Over) => Err(NoAttempt::OnTrial(left)),
         }
     }
 
@@ -299,12 +307,12 @@
         shared: Option<&'a str>,
         model: Option<&str>,
     ) -> Option<SharedPrompt<'a>> {
-        let whole = self.prompt.reading_tokens();
+        let whole = self.prompt.weighted_tokens();
         let shared_tokens = self.prompt.shared_tokens as f64;
-        let time = |tokens: f64| gw.reading_time(&self.service, model, tokens);
+        let time = |tokens: f64| gw.prompt_reading_time(&self.service, model, tokens);
         Some(SharedPrompt {
             shared: shared?,
-            spread: match gw.is_dearest(&self.service, model) {
+            spread: match gw.is_most_expensive(&self.service, model) {
                 true => Spread::OneEngine,
                 false => Spread::OneEngineAHall,
             },
@@ -317,7 +325,7 @@
 
     /// Returns how long a model's first event would take from now on.
     pub fn expected(&self, gw: &Gateway, model: Option<&str>, now: Now) -> Expected {
-        let candidates = gw.candidates(&self.service, &self.session, now);
+        let candidates = gw.candidates(&self.service, &self.session_id, now);
         self.expected_among(gw, &candidates, model, now)
     }
 
@@ -340,7 +348,7 @@
 
     /// Returns how long each model's first event would take from now on.
     pub fn expected_of_all(&self, gw: &Gateway, models: &[String], now: Now) -> Vec<Expected> {
-        let candidates = gw.candidates(&self.service, &self.session, now);
+        let candidates = gw.candidates(&self.service, &self.session_id, now);
         let expected = |model: &String| self.expected_among(gw, &candidates, Some(model), now);
         models.iter().map(expected).collect()
     }
@@ -348,11 +356,11 @@
     /// Returns what is left of the route's objective.
     pub fn left_of_objective(&self, now: Now) -> Duration {
         let spent = now.monotonic.saturating_sub(self.received);
-        self.route.objective.saturating_sub(spent)
+        self.route.latency_objective.saturating_sub(spent)
     }
 
     fn pay(&self, gw: &Gateway, repeat: Repeat, now: Now) -> bool {
-        gw.with_retries(&self.service, |window| {
+        gw.with_retry_window(&self.service, |window| {
             if self.tries.sent() > 0 {
                 return window.take(repeat, now);
             }
@@ -363,7 +371,7 @@
         })
     }
 
-    fn record(&self, gw: &Gateway, choice: &Choice, tried: &Tried, plan: TryPlan<'_>) {
+    fn record(&self, gw: &Gateway, choice: &Choice, tried: &Tried, plan: AttemptPlan<'_>) {
         self.tries.record(tried);
         if choice.upstream.says_it_leaves() {
             gw.hear_leaving(&choice.upstream, Now::read());
@@ -380,10 +388,10 @@
             Tried::Unknown(_) => self.end_trial(),
             Tried::Answered(_) | Tried::NotRun(_) => {}
         }
-        gw.telemetry.tried(self, choice, tried, plan);
+        gw.telemetry.record_attempt(self, choice, tried, plan);
     }
 
-    fn outgoing(&self, gw: &Gateway, choice: &Choice, plan: TryPlan<'_>, now: Now) -> Outgoing {
+    fn outgoing(&self, gw: &Gateway, choice: &Choice, plan: AttemptPlan<'_>, now: Now) -> Outgoing {
         let names = &gw.headers;
         let mut headers = self.headers.clone();
         let mut set = |name: &http::HeaderName, value: &str| {
--- a/src/gateway/admit/routes.rs
+++ b/src/gateway/admit/routes.rs
@@ -20,14 +20,14 @@
     pub services: HashMap<String, Service>,
     /// What callers may send and how long they may rest.
     pub limits: CallerLimits,
-    organisations: HashMap<String, Organisation>,
-    asks_for_keys: bool,
+    organisations_by_key: HashMap<String, Organisation>,
+    requires_keys: bool,
     /// The highest and the lowest rank of the routes that choose models; none without such routes.
-    ranks: Option<(u8, u8)>,
+    rank_range: Option<(u8, u8)>,
 }
 
 /// The part of the way down the ranks that stands for a route where all have the same rank.
-pub const EVEN_RANK: f64 = 0.5;
+pub const NEUTRAL_RELATIVE_RANK: f64 = 0.5;
 
 /// One rule that maps a host and a path prefix to a service.
 #[derive(Debug, Clone)]
@@ -43,11 +43,11 @@
     /// How long the operators want a request held at most.
     pub timeout: Duration,
     /// The time inside which an answer is fully useful.
-    pub objective: Duration,
+    pub latency_objective: Duration,
     /// The rank, 0 the highest.
     pub priority: u8,
     /// The most upstreams that one request may run on.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether callers need no key.
     pub public: bool,
     /// The models that the router may choose from, smallest first; empty on routes
@@ -69,7 +69,7 @@
         /// Whether another upstream may go on where a stream broke.
         resumable: bool,
         /// The longest pause between two events that is still in time.
-        gap: Duration,
+        max_event_gap: Duration,
     },
 }
 
@@ -86,7 +86,7 @@
     /// Returns the longest pause between events, on streams.
     pub fn stream_gap(self) -> Option<Duration> {
         match self {
-            Self::Stream { gap, .. } => Some(gap),
+            Self::Stream { max_event_gap, .. } => Some(max_event_gap),
             Self::Idempotent | Self::NonIdempotent => None,
         }
     }
@@ -111,7 +111,7 @@
 impl Engine {
     /// Returns a model's price as a part of the dearest model's; one for a model without a
     /// price.
-    pub fn price_part(&self, model: &str) -> f64 {
+    pub fn relative_price(&self, model: &str) -> f64 {
         let dearest = self
             .models
             .iter()
@@ -129,20 +129,20 @@
 #[derive(Debug, Clone, Copy)]
 pub struct CallerLimits {
     /// The largest body, in bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// The longest time for the head of a request.
-    pub head: Duration,
+    pub header_timeout: Duration,
     /// How long a kept connection may rest.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
     /// Generous limits for the moments before a configuration is known.
     fn default() -> Self {
         Self {
-            body_bytes: 4 * 1024 * 1024,
-            head: Duration::from_secs(3),
-            idle: Duration::from_secs(15),
+            max_body_bytes: 4 * 1024 * 1024,
+            header_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
@@ -190,11 +190,11 @@
         for routes in by_host.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
-        let asks_for_keys = organisations.is_some();
-        let mut by_key = HashMap::new();
+        let requires_keys = organisations.is_some();
+        let mut organisations_by_key = HashMap::new();
         for (organisation, keys) in organisations.unwrap_or_default() {
             for key in keys {
-                by_key.insert(key, organisation.clone());
+                organisations_by_key.insert(key, organisation.clone());
             }
         }
         Self {
@@ -202,21 +202,21 @@
             routes: by_host,
             services,
             limits,
-            organisations: by_key,
-            asks_for_keys,
-            ranks: highest.zip(ranks.into_iter().max()),
+            organisations_by_key,
+            requires_keys,
+            rank_range: highest.zip(ranks.into_iter().max()),
         }
     }
 
     /// Returns how far down a rank is among the routes that choose models: 0 for the most urgent
     /// ones, 1 for the least urgent.
-    pub fn rank_part(&self, priority: u8) -> f64 {
-        match self.ranks {
+    pub fn relative_rank(&self, priority: u8) -> f64 {
+        match self.rank_range {
             Some((highest, lowest)) if highest < lowest => {
                 let below = priority.clamp(highest, lowest) - highest;
                 f64::from(below) / f64::from(lowest - highest)
             }
-            _ => EVEN_RANK,
+            _ => NEUTRAL_RELATIVE_RANK,
         }
     }
 
@@ -231,10 +231,10 @@
 
     /// Returns whose key a request on a route carries.
     pub fn caller(&self, route: &Route, key: Option<&str>) -> Caller<'_> {
-        if route.public || !self.asks_for_keys {
+        if route.public || !self.requires_keys {
             return Caller::Anonymous;
         }
-        match key.and_then(|key| self.organisations.get(key)) {
+        match key.and_then(|key| self.organisations_by_key.get(key)) {
             Some(organisation) => Caller::Known(organisation),
             None => Caller::Unknown,
         }
--- a/src/gateway/admit/serve.rs
+++ b/src/gateway/admit/serve.rs
@@ -1,20 +1,20 @@
 //! From a caller's request to the answer that it gets.
 
-use super::job::{Job, leaves_choice};
 use super::prompt::Prompt;
+use super::request::{AdmittedRequest, leaves_choice};
 use super::routes::{Caller, Route, RouteTable};
 use crate::clock::Now;
 use crate::fingerprint::{Fingerprint, Identity};
-use crate::gateway::answer::plain::{self, WholeAnswer};
-use crate::gateway::answer::refusal::{self, Ran, Why};
+use crate::gateway::answer::buffered::{self, WholeAnswer};
+use crate::gateway::answer::refusal::{self, Execution, RefusalReason};
 use crate::gateway::answer::relay::Relay;
 use crate::gateway::answer::stream::{self, Begun};
 use crate::gateway::attempt::connect::http1_types;
 use crate::gateway::attempt::tries::Tries;
 use crate::gateway::control::knowledge::Proof;
 use crate::gateway::place::choose::draw;
-use crate::gateway::settings::UnprovedKeys;
-use crate::gateway::{FirstWait, Gateway};
+use crate::gateway::settings::UnverifiedKeyPolicy;
+use crate::gateway::{Gateway, StartupWait};
 use crate::hop_by_hop::HopByHop;
 use actix_http::body::{BodyStream, BoxBody, MessageBody as _};
 use actix_http::{HttpMessage as _, Request, Response, StatusCode};
@@ -30,15 +30,15 @@
 /// Serves one request and says so in the log.
 pub async fn serve(gw: Rc<Gateway>, mut req: Request) -> Response<BoxBody> {
     let received = Now::read();
-    let _counted = gw.count_in();
+    let _counted = gw.track_request();
     let request_id = header(&req, &gw.headers.request_id)
         .unwrap_or_default()
         .to_owned();
     let mut response = match admit(&gw, &mut req, &request_id, received).await {
-        Ok(job) => serve_job(&gw, Rc::new(job)).await,
-        Err(why) => refuse(&gw, &request_id, None, why, Ran::Nowhere, received),
+        Ok(request) => serve_job(&gw, Rc::new(request)).await,
+        Err(why) => refuse(&gw, &request_id, None, why, Execution::Never, received),
     };
-    gw.callers.ask_to_leave(&mut response);
+    gw.caller_connections.ask_to_leave(&mut response);
     response
 }
 
@@ -48,12 +48,12 @@
     req: &mut Request,
     request_id: &str,
     received: Now,
-) -> Result<Job, Why> {
+) -> Result<AdmittedRequest, RefusalReason> {
     let asked = header(req, &gw.headers.deadline).and_then(|text| text.parse().ok());
     let caller_waits = asked.map(Duration::from_millis);
-    let waiting = FirstWait {
+    let waiting = StartupWait {
         received: received.monotonic,
-        caller_waits,
+        caller_timeout: caller_waits,
     };
     let routes = await_routes(gw, waiting).await?;
     check_caller(gw, req, &routes, received)?;
@@ -69,17 +69,17 @@
     let model = header(req, &gw.headers.model);
     let chooses_model = leaves_choice(model);
     if !route.models.is_empty() && model.is_some() && !chooses_model {
-        return Err(Why::ModelNamed);
+        return Err(RefusalReason::ModelNamed);
     }
-    if gw.is_too_late_for(route.kind, now) {
-        return Err(Why::Stopping);
+    if gw.is_too_late_to_admit(route.kind, now) {
+        return Err(RefusalReason::Stopping);
     }
     let wait = caller_waits.unwrap_or(route.timeout);
     let prompt = Prompt::read(header(req, &gw.headers.prompt_parts));
     let session = header(req, &gw.headers.session).unwrap_or(request_id);
     let service = route
         .service_for(draw(request_id))
-        .ok_or(Why::NoRoute)?
+        .ok_or(RefusalReason::NoRoute)?
         .to_owned();
     let target = target_of(req);
     let fingerprint = Fingerprint::of(Identity {
@@ -89,7 +89,7 @@
         target: &target,
         body: &body,
     });
-    Ok(Job {
+    Ok(AdmittedRequest {
         request_id: request_id.to_owned(),
         fingerprint,
         config_version: routes.version,
@@ -102,7 +102,7 @@
         received: received.monotonic,
         deadline: received.monotonic + wait.min(route.timeout),
         prompt,
-        session: session.to_owned(),
+        session_id: session.to_owned(),
         chooses_model,
         route,
         tries: Tries::default(),
@@ -113,12 +113,18 @@
 
 /// Returns the routes in force, which a box that has just started is about to learn together
 /// with the proof that they are the newest.
-async fn await_routes(gw: &Gateway, waiting: FirstWait) -> Result<Arc<RouteTable>, Why> {
-    let wait = gw.left_of_first_read(waiting, Now::read());
+async fn await_routes(
+    gw: &Gateway,
+    waiting: StartupWait,
+) -> Result<Arc<RouteTable>, RefusalReason> {
+    let wait = gw.remaining_startup_wait(waiting, Now::read());
     // Whether it was learned or the wait is over, what is known then tells.
-    let _ = tokio::time::timeout(wait, gw.await_first_knowledge()).await;
+    let _ = tokio::time::timeout(wait, gw.wait_for_first_config()).await;
     let knowledge = gw.knowledge.borrow();
-    knowledge.routes().cloned().ok_or(Why::NoConfiguration)
+    knowledge
+        .routes()
+        .cloned()
+        .ok_or(RefusalReason::NoConfiguration)
 }
 
 /// Checks the route, the key and how fresh the knowledge of both is.
@@ -127,12 +133,12 @@
     req: &Request,
     routes: &'a RouteTable,
     now: Now,
-) -> Result<&'a Arc<Route>, Why> {
+) -> Result<&'a Arc<Route>, RefusalReason> {
     let found = find_route(req, routes);
     let caller = found.map(|route| routes.caller(route, header(req, &gw.headers.key)));
-    let unproved = gw.settings().bounds.unproved_keys;
+    let unproved = gw.settings().bounds.unverified_key_policy;
     check(caller, gw.proof(now), unproved)?;
-    found.ok_or(Why::NoRoute)
+    found.ok_or(RefusalReason::NoRoute)
 }
 
 /// Decides by a request's route and key whether it is served; no caller means that it has
@@ -141,20 +147,24 @@
 /// That a route or a key does not exist is only said while what is known is proved to be
 /// the newest: the operators may have added it since. A box that has known for too long
 /// that there is something newer serves nothing by what it has.
-pub fn check(caller: Option<Caller<'_>>, proof: Proof, unproved: UnprovedKeys) -> Result<(), Why> {
+pub fn check(
+    caller: Option<Caller<'_>>,
+    proof: Proof,
+    unproved: UnverifiedKeyPolicy,
+) -> Result<(), RefusalReason> {
     if proof == Proof::Outdated {
-        return Err(Why::Stale);
+        return Err(RefusalReason::Stale);
     }
     match (caller, proof) {
         (Some(Caller::Anonymous), _) => Ok(()),
         (Some(Caller::Known(_)), Proof::Newest | Proof::KeysHold) => Ok(()),
         (Some(Caller::Known(_)), _) => match unproved {
-            UnprovedKeys::ServeKnown => Ok(()),
-            UnprovedKeys::Refuse => Err(Why::Stale),
+            UnverifiedKeyPolicy::ServeKnown => Ok(()),
+            UnverifiedKeyPolicy::Refuse => Err(RefusalReason::Stale),
         },
-        (None, Proof::Newest) => Err(Why::NoRoute),
-        (Some(Caller::Unknown), Proof::Newest) => Err(Why::UnknownKey),
-        (None | Some(Caller::Unknown), _) => Err(Why::Stale),
+        (None, Proof::Newest) => Err(RefusalReason::NoRoute),
+        (Some(Caller::Unknown), Proof::Newest) => Err(RefusalReason::UnknownKey),
+        (None | Some(Caller::Unknown), _) => Err(RefusalReason::Stale),
     }
 }
 
@@ -167,54 +177,59 @@
     host.and_then(|host| host.to_str().ok()).unwrap_or_default()
 }
 
-async fn read_body(req: &mut Request, routes: &RouteTable, received: Now) -> Result<Bytes, Why> {
-    let limit = routes.limits.body_bytes;
+async fn read_body(
+    req: &mut Request,
+    routes: &RouteTable,
+    received: Now,
+) -> Result<Bytes, RefusalReason> {
+    let limit = routes.limits.max_body_bytes;
     let mut payload = req.take_payload();
     let mut body = BytesMut::new();
-    let patience = routes.limits.idle;
+    let patience = routes.limits.idle_timeout;
     while let Some(piece) = tokio::time::timeout(patience, payload.next())
         .await
-        .map_err(|_elapsed| Why::NoBody)?
+        .map_err(|_elapsed| RefusalReason::NoBody)?
     {
         let piece = piece.map_err(|err| {
             log::debug!(received_ms = received.monotonic.as_millis() as u64; "no whole body: {err}");
-            Why::NoBody
+            RefusalReason::NoBody
         })?;
         if body.len() + piece.len() > limit {
-            return Err(Why::TooLarge);
+            return Err(RefusalReason::TooLarge);
         }
         body.extend_from_slice(&piece);
     }
     Ok(body.freeze())
 }
 
-async fn serve_job(gw: &Rc<Gateway>, job: Rc<Job>) -> Response<BoxBody> {
-    let result = match job.route.kind.stream_gap() {
-        Some(_) => stream::begin(gw, &job).await,
-        None => plain::serve(gw, &job).await.map(Begun::Failed),
+async fn serve_job(gw: &Rc<Gateway>, request: Rc<AdmittedRequest>) -> Response<BoxBody> {
+    let result = match request.route.kind.stream_gap() {
+        Some(_) => stream::begin(gw, &request).await,
+        None => buffered::serve(gw, &request).await.map(Begun::Failed),
     };
     match result {
         Ok(Begun::Stream { headers, relay }) => {
-            gw.telemetry.passed_on(&job, 200, Now::read());
+            gw.telemetry.record_answer(&request, 200, Now::read());
             stream_response(gw, &headers, relay)
         }
         Ok(Begun::Failed(whole)) => {
-            gw.telemetry.passed_on(&job, whole.status, Now::read());
+            gw.telemetry
+                .record_answer(&request, whole.status, Now::read());
             whole_response(whole)
         }
         Err(why) => {
-            job.give_up_trial(gw, Now::read());
+            request.give_up_trial(gw, Now::read());
             let received = Now {
-                monotonic: job.received,
+                monotonic: request.received,
                 ..Now::read()
             };
-            let fingerprint = Some(job.fingerprint);
+            let fingerprint = Some(request.fingerprint);
             refuse(
                 gw,
-                &job.request_id,
+                &request.request_id,
                 fingerprint,
                 why,
-                job.tries.ran(),
+                request.tries.ran(),
                 received,
             )
         }
@@ -225,15 +240,15 @@
     gw: &Gateway,
     request: &str,
     fingerprint: Option<Fingerprint>,
-    why: Why,
-    ran: Ran,
+    why: RefusalReason,
+    ran: Execution,
     received: Now,
 ) -> Response<BoxBody> {
     let now = Now::read();
     let took = now.monotonic.saturating_sub(received.monotonic);
     let age = gw.knowledge.borrow().age(now);
     gw.telemetry
-        .refused(request, fingerprint, why, ran, age, took);
+        .record_refusal(request, fingerprint, why, ran, age, took);
     refusal::answer(why, ran)
 }
 
@@ -248,7 +263,7 @@
     headers: &http1_types::HeaderMap,
     relay: Box<Relay>,
 ) -> Response<BoxBody> {
-    let counted = gw.count_in();
+    let counted = gw.track_request();
     let events = futures::stream::unfold(Some((relay, counted)), |state| async move {
         let (mut relay, counted) = state?;
         match relay.next().await? {
--- a/src/gateway/answer/plain.rs
+++ b/src/gateway/answer/buffered.rs
@@ -1,9 +1,9 @@
 //! Requests whose answer is passed on whole.
 
-use super::refusal::{Ran, Why};
+use super::refusal::{Execution, RefusalReason};
 use crate::clock::Now;
 use crate::gateway::Gateway;
-use crate::gateway::admit::job::{Job, NoTry, TryPlan};
+use crate::gateway::admit::request::{AdmittedRequest, AttemptPlan, NoAttempt};
 use crate::gateway::admit::routes::RouteKind;
 use crate::gateway::attempt::connect::http1_types;
 use crate::gateway::attempt::exchange::{Answer, Tried};
@@ -39,64 +39,70 @@
 }
 
 /// Serves a request by as many tries as its route, the budget and its time allow.
-pub async fn serve(gw: &Gateway, job: &Job) -> Result<WholeAnswer, Why> {
+pub async fn serve(gw: &Gateway, request: &AdmittedRequest) -> Result<WholeAnswer, RefusalReason> {
     let mut failed_answer = None;
     loop {
-        let plan = TryPlan {
+        let plan = AttemptPlan {
             model: None,
             resume_after: None,
-            head: patience(gw, job, Now::read()),
+            head: patience(gw, request, Now::read()),
             repeat: Repeat::Failure,
         };
-        match job.try_once(gw, plan).await {
-            Ok(Tried::Answered(answer)) => match take_whole(gw, job, *answer).await {
+        match request.run_attempt(gw, plan).await {
+            Ok(Tried::Answered(answer)) => match take_whole(gw, request, *answer).await {
                 Some(whole) if whole.status < SERVER_ERRORS => return Ok(whole),
                 Some(whole) => failed_answer = Some(whole),
                 None => {}
             },
             Ok(Tried::NotRun(_) | Tried::Unknown(_)) => {}
-            Err(NoTry::NoUpstream) if job.should_wait(gw, RETRY_PAUSE, Now::read()) => {
+            Err(NoAttempt::NoUpstream) if request.should_wait(gw, RETRY_PAUSE, Now::read()) => {
                 tokio::time::sleep(RETRY_PAUSE).await;
-                job.tries.allow_all();
+                request.tries.allow_all();
             }
-            Err(NoTry::Paused(pause)) if job.can_wait(pause.left(), Now::read()) => {
+            Err(NoAttempt::Paused(pause)) if request.can_wait(pause.left(), Now::read()) => {
                 tokio::time::sleep(pause.left()).await;
-                job.tries.allow_all();
+                request.tries.allow_all();
             }
-            Err(no_try) => return failed_answer.ok_or_else(|| why(no_try, job)),
+            Err(no_try) => return failed_answer.ok_or_else(|| why(no_try, request)),
         }
-        if !job.may_run_again() {
-            return failed_answer.ok_or_else(|| job.tries.exhausted());
+        if !request.may_run_again() {
+            return failed_answer.ok_or_else(|| request.tries.exhausted());
         }
     }
 }
 
 /// Returns how long to wait for one upstream.
-fn patience(gw: &Gateway, job: &Job, now: Now) -> Patience {
+fn patience(gw: &Gateway, request: &AdmittedRequest, now: Now) -> Patience {
     let all = Patience::up_to(Duration::MAX);
-    match job.route.kind {
-        RouteKind::Idempotent if !job.has_last_run_left() && job.can_repeat(gw, now) => Patience {
-            silent: job.route.objective * SILENT_OBJECTIVES,
-            alive: job.route.objective * ALIVE_OBJECTIVES,
-            ..all
-        },
+    match request.route.kind {
+        RouteKind::Idempotent if !request.has_last_run_left() && request.can_repeat(gw, now) => {
+            Patience {
+                silent: request.route.latency_objective * SILENT_OBJECTIVES,
+                alive: request.route.latency_objective * ALIVE_OBJECTIVES,
+                ..all
+            }
+        }
         // A request that cannot run again has nowhere else to go.
         _ => all,
     }
 }
 
-async fn take_whole(gw: &Gateway, job: &Job, mut answer: Answer) -> Option<WholeAnswer> {
-    let whole = read_whole(gw, job, &mut answer, ANSWER_BYTES_LIMIT).await;
+async fn take_whole(
+    gw: &Gateway,
+    request: &AdmittedRequest,
+    mut answer: Answer,
+) -> Option<WholeAnswer> {
+    let whole = read_whole(gw, request, &mut answer, ANSWER_BYTES_LIMIT).await;
     let now = Now::read();
     match whole.as_ref().map(|whole| whole.status) {
         Some(status) if status < SERVER_ERRORS => {
-            if let Some(timed) = job.timed.take() {
+            if let Some(timed) = request.timed.take() {
                 timed.came(now);
             }
             answer.finish(&gw.connections, now);
         }
         Some(_) => {
-            if let Some(timed) = job.timed.take() {
+            if let Some(timed) = request.timed.take() {
                 timed.failed();
             }
             answer.upstream().failed(now);
@@ -109,15 +115,15 @@
 /// Reads an answer whole within the request's time; what broke it off is logged.
 pub async fn read_whole(
     gw: &Gateway,
-    job: &Job,
+    request: &AdmittedRequest,
     answer: &mut Answer,
     limit: usize,
 ) -> Option<WholeAnswer> {
-    let left = job.left(Now::read());
+    let left = request.left(Now::read());
     let read = tokio::time::timeout(left, answer.read_whole(limit)).await;
     let reason = match read {
         Ok(Ok(body)) => {
-            gw.quarantine.answered(job.fingerprint, Now::read());
+            gw.quarantine.answered(request.fingerprint, Now::read());
             return Some(WholeAnswer {
                 status: answer.status,
                 headers: answer.headers.clone(),
@@ -125,27 +131,32 @@
             });
         }
         Ok(Err(reason)) => {
-            job.broke_off(gw, answer.upstream(), Now::read());
+            request.broke_off(gw, answer.upstream(), Now::read());
             reason
         }
         Err(_elapsed) => "out of time".to_owned(),
     };
-    gw.telemetry.broke_off(job, answer.upstream(), &reason);
+    gw.telemetry
+        .record_broken_answer(request, answer.upstream(), &reason);
     None
 }
 
 /// Returns the reason to give when no further try was made.
-pub fn why(no_try: NoTry, job: &Job) -> Why {
+pub fn why(no_try: NoAttempt, request: &AdmittedRequest) -> RefusalReason {
     match no_try {
-        NoTry::OutOfTime => Why::Deadline,
-        NoTry::Quarantined => Why::CrashesUpstreams,
-        NoTry::OnTrial(left) => Why::OnTrial(left),
-        NoTry::Paused(Pause::Resting(left)) => Why::Resting(left + spread(&job.request_id, left)),
-        NoTry::Paused(Pause::WarmingUp(left)) => {
-            Why::WarmingUp(left + spread(&job.request_id, left))
+        NoAttempt::OutOfTime => RefusalReason::Deadline,
+        NoAttempt::Quarantined => RefusalReason::CrashesUpstreams,
+        NoAttempt::OnTrial(left) => RefusalReason::OnTrial(left),
+        NoAttempt::Paused(Pause::Resting(left)) => {
+            RefusalReason::Resting(left + spread(&request.request_id, left))
+        }
+        NoAttempt::Paused(Pause::WarmingUp(left)) => {
+            RefusalReason::WarmingUp(left + spread(&request.request_id, left))
+        }
+        NoAttempt::Evacuated if request.tries.ran() == Execution::Never => RefusalReason::Evacuated,
+        NoAttempt::NoUpstream | NoAttempt::OutOfBudget | NoAttempt::Evacuated => {
+            request.tries.exhausted()
         }
-        NoTry::Evacuated if job.tries.ran() == Ran::Nowhere => Why::Evacuated,
-        NoTry::NoUpstream | NoTry::OutOfBudget | NoTry::Evacuated => job.tries.exhausted(),
     }
 }
 
--- a/src/gateway/answer/refusal.rs
+++ b/src/gateway/answer/refusal.rs
@@ -9,7 +9,7 @@
 
 /// Why a request gets no upstream's answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Why {
+pub enum RefusalReason {
     /// No configuration is known yet.
     NoConfiguration,
     /// What is known is too old to serve keys by, or to say that something does not exist.
@@ -46,7 +46,7 @@
     OnTrial(Duration),
 }
 
-impl Why {
+impl RefusalReason {
     /// Returns the name of the reason in answers, logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
@@ -92,12 +92,12 @@
     ];
 
     /// Returns the reason of a name, as logs hold it.
-    pub fn named(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|why| why.name() == name)
     }
 
     /// Says for people what the reason means and where its cause is to be looked for.
-    pub fn meaning(self) -> &'static str {
+    pub fn explanation(self) -> &'static str {
         match self {
             Self::NoConfiguration => "the box had just started and not reached the store yet",
             Self::Stale => {
@@ -149,33 +149,33 @@
 
 /// Whether any try of a request may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ran {
+pub enum Execution {
     /// It certainly ran nowhere and will not.
-    Nowhere,
+    Never,
     /// It may have run.
-    Perhaps,
+    Possible,
 }
 
 /// Returns the status that a request gets.
-pub fn status(why: Why, ran: Ran) -> StatusCode {
+pub fn status(why: RefusalReason, ran: Execution) -> StatusCode {
     match (why, ran) {
-        (Why::NoRoute, _) => StatusCode::NOT_FOUND,
-        (Why::UnknownKey, _) => StatusCode::UNAUTHORIZED,
-        (Why::TooLarge, _) => StatusCode::PAYLOAD_TOO_LARGE,
-        (Why::NoBody, _) => StatusCode::REQUEST_TIMEOUT,
-        (Why::ModelNamed, _) => StatusCode::MISDIRECTED_REQUEST,
+        (RefusalReason::NoRoute, _) => StatusCode::NOT_FOUND,
+        (RefusalReason::UnknownKey, _) => StatusCode::UNAUTHORIZED,
+        (RefusalReason::TooLarge, _) => StatusCode::PAYLOAD_TOO_LARGE,
+        (RefusalReason::NoBody, _) => StatusCode::REQUEST_TIMEOUT,
+        (RefusalReason::ModelNamed, _) => StatusCode::MISDIRECTED_REQUEST,
         // The same request has no better fate at another time, so callers should not repeat it.
-        (Why::CrashesUpstreams, _) => StatusCode::BAD_REQUEST,
-        (Why::Deadline, Ran::Perhaps) => StatusCode::GATEWAY_TIMEOUT,
-        (_, Ran::Perhaps) => StatusCode::BAD_GATEWAY,
-        (_, Ran::Nowhere) => StatusCode::SERVICE_UNAVAILABLE,
+        (RefusalReason::CrashesUpstreams, _) => StatusCode::BAD_REQUEST,
+        (RefusalReason::Deadline, Execution::Possible) => StatusCode::GATEWAY_TIMEOUT,
+        (_, Execution::Possible) => StatusCode::BAD_GATEWAY,
+        (_, Execution::Never) => StatusCode::SERVICE_UNAVAILABLE,
     }
 }
 
 /// Makes the final answer.
-pub fn answer(why: Why, ran: Ran) -> Response<BoxBody> {
+pub fn answer(why: RefusalReason, ran: Execution) -> Response<BoxBody> {
     let mut builder = Response::build(status(why, ran));
-    if ran == Ran::Nowhere
+    if ran == Execution::Never
         && let Some(after) = why.come_back_after()
     {
         builder.insert_header((
@@ -183,7 +183,10 @@
             format!("{:.3}", after.as_secs_f64()),
         ));
     }
-    if matches!(why, Why::Stopping | Why::Stale | Why::NoBody) {
+    if matches!(
+        why,
+        RefusalReason::Stopping | RefusalReason::Stale | RefusalReason::NoBody
+    ) {
         builder.force_close();
     }
     let text = format!("{}\n", why.name());
--- a/src/gateway/answer/relay.rs
+++ b/src/gateway/answer/relay.rs
@@ -6,7 +6,7 @@
 use super::events::{EventSplitter, Events};
 use crate::clock::Now;
 use crate::gateway::Gateway;
-use crate::gateway::admit::job::{Job, NoTry, TryPlan};
+use crate::gateway::admit::request::{AdmittedRequest, AttemptPlan, NoAttempt};
 use crate::gateway::attempt::exchange::{Answer, Piece, Tried};
 use crate::gateway::attempt::patience::Patience;
 use crate::gateway::attempt::retries::Repeat;
@@ -38,7 +38,7 @@
 /// A stream under way.
 pub struct Relay {
     gw: Rc<Gateway>,
-    job: Rc<Job>,
+    request: Rc<AdmittedRequest>,
     answer: Option<Answer>,
     splitter: EventSplitter,
     ready: Option<Events>,
@@ -56,7 +56,7 @@
 impl fmt::Debug for Relay {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Relay")
-            .field("request_id", &self.job.request_id)
+            .field("request_id", &self.request.request_id)
             .field("events", &self.events)
             .finish_non_exhaustive()
     }
@@ -80,7 +80,9 @@
     fn drop(&mut self) {
         if self.answer.is_some() {
             let reason = "its caller left, or the process ends";
-            self.gw.telemetry.stream_cut(&self.job, self.events, reason);
+            self.gw
+                .telemetry
+                .record_stream_cut(&self.request, self.events, reason);
         }
     }
 }
@@ -89,7 +91,7 @@
     /// Takes over a stream whose first events, if it has any, are there.
     pub fn new(
         gw: &Rc<Gateway>,
-        job: &Rc<Job>,
+        request: &Rc<AdmittedRequest>,
         mut answer: Answer,
         splitter: EventSplitter,
         events: Option<Events>,
@@ -97,15 +99,15 @@
     ) -> Self {
         let now = Now::read();
         answer.has_read();
-        gw.first_event(job, &answer, model.as_deref().unwrap_or_default(), now);
-        let timed = gw.time_events(job, answer.upstream(), PACED_EVENTS - 1, now);
-        let asked_after = job.headers.get(gw.headers.last_event_id.as_str());
+        gw.first_event(request, &answer, model.as_deref().unwrap_or_default(), now);
+        let timed = gw.time_events(request, answer.upstream(), PACED_EVENTS - 1, now);
+        let asked_after = request.headers.get(gw.headers.last_event_id.as_str());
         let last_id = asked_after
             .and_then(|value| value.to_str().ok())
             .map(str::to_owned);
         Self {
             gw: gw.clone(),
-            job: job.clone(),
+            request: request.clone(),
             answer: Some(answer),
             splitter,
             ready: events,
@@ -136,7 +138,7 @@
                 return Some(Ok(events.bytes));
             }
             let answer = self.answer.as_mut()?;
-            let patience = patience(&self.job).within(self.job.left(Now::read()));
+            let patience = patience(&self.request).within(self.request.left(Now::read()));
             let broken = match answer
                 .next_piece_within(&self.gw.connections, patience)
                 .await
@@ -168,7 +170,7 @@
                 self.answer = None;
                 self.gw
                     .telemetry
-                    .stream_cut(&self.job, self.events, &broke_off.0);
+                    .record_stream_cut(&self.request, self.events, &broke_off.0);
                 return Some(Err(broke_off));
             }
         }
@@ -176,15 +178,16 @@
 
     fn note_broken(&self) {
         if let Some(answer) = &self.answer {
-            self.job.broke_off(&self.gw, answer.upstream(), Now::read());
+            self.request
+                .broke_off(&self.gw, answer.upstream(), Now::read());
         }
     }
 
     /// Tells whether a silent upstream is still the best hope: nobody else may be asked, or nobody
     /// else is there.
     fn should_wait_on(&self, now: Now) -> bool {
-        let cannot_go_on = || !self.job.can_repeat(&self.gw, now) || self.is_only_hope(now);
-        !self.job.left(now).is_zero() && cannot_go_on()
+        let cannot_go_on = || !self.request.can_repeat(&self.gw, now) || self.is_only_hope(now);
+        !self.request.left(now).is_zero() && cannot_go_on()
     }
 
     /// Tells whether only the upstream that pauses could go on. It has read the prompt already, so
@@ -195,7 +198,7 @@
         };
         let candidates = self
             .gw
-            .candidates(&self.job.service, &self.job.session, now);
+            .candidates(&self.request.service, &self.request.session_id, now);
         let is_other = |upstream: &Rc<Upstream>| upstream.life() != pausing.life();
         !pausing.needs_connection() && !candidates.iter().any(is_other)
     }
@@ -224,12 +227,12 @@
     fn finish(&mut self) {
         let now = Now::read();
         self.judge_pace(now);
-        self.gw.quarantine.answered(self.job.fingerprint, now);
+        self.gw.quarantine.answered(self.request.fingerprint, now);
         if let Some(answer) = self.answer.take() {
             answer.finish(&self.gw.connections, now);
         }
-        self.gw.telemetry.stream_ended(
-            &self.job,
+        self.gw.telemetry.record_stream_end(
+            &self.request,
             &StreamSummary {
                 events: self.events,
                 resumed: self.resumed,
@@ -245,18 +248,18 @@
         if let Some(answer) = self.answer.take() {
             self.gw
                 .telemetry
-                .broke_off(&self.job, answer.upstream(), &reason);
+                .record_broken_answer(&self.request, answer.upstream(), &reason);
             answer.upstream().failed(Now::read());
         }
         self.splitter = EventSplitter::default();
         loop {
-            if !self.job.may_run_again() {
+            if !self.request.may_run_again() {
                 return Err(BrokeOff(reason));
             }
-            let plan = TryPlan {
+            let plan = AttemptPlan {
                 model: self.model.as_deref(),
                 resume_after: self.last_id.as_deref(),
-                head: match self.job.has_last_run_left() {
+                head: match self.request.has_last_run_left() {
                     true => Patience::up_to(Duration::MAX),
                     false => Patience {
                         silent: RESUME_HEAD,
@@ -266,20 +269,20 @@
                 },
                 repeat: Repeat::Failure,
             };
-            match self.job.try_once(&self.gw, plan).await {
+            match self.request.run_attempt(&self.gw, plan).await {
                 Ok(Tried::Answered(answer)) if (200..300).contains(&answer.status) => {
                     self.resumed += 1;
                     self.answer = Some(*answer);
                     return Ok(());
                 }
                 Ok(_) => {}
-                Err(NoTry::NoUpstream) if !self.job.left(Now::read()).is_zero() => {
+                Err(NoAttempt::NoUpstream) if !self.request.left(Now::read()).is_zero() => {
                     tokio::time::sleep(RESUME_PAUSE).await;
-                    self.job.tries.allow_all();
+                    self.request.tries.allow_all();
                 }
-                Err(NoTry::Paused(pause)) if self.can_pause(pause.left()) => {
+                Err(NoAttempt::Paused(pause)) if self.can_pause(pause.left()) => {
                     tokio::time::sleep(pause.left()).await;
-                    self.job.tries.allow_all();
+                    self.request.tries.allow_all();
                 }
                 Err(_) => return Err(BrokeOff(reason)),
             }
@@ -288,16 +291,16 @@
 
     /// Tells whether the caller bears a pause: no longer than one between two events.
     fn can_pause(&self, pause: Duration) -> bool {
-        let gap = self.job.route.kind.stream_gap().unwrap_or_default();
-        pause < gap.min(self.job.left(Now::read()))
+        let gap = self.request.route.kind.stream_gap().unwrap_or_default();
+        pause < gap.min(self.request.left(Now::read()))
     }
 }
 
 /// Returns how long a pause may be before another upstream is asked to go on.
-fn patience(job: &Job) -> Patience {
+fn patience(request: &AdmittedRequest) -> Patience {
     let all = Patience::up_to(Duration::MAX);
-    match job.route.kind.stream_gap() {
-        Some(gap) if job.may_run_again() => Patience {
+    match request.route.kind.stream_gap() {
+        Some(gap) if request.may_run_again() => Patience {
             silent: gap * SILENT_TENTHS / 10,
             alive: gap * ALIVE_TENTHS / 10,
             ..all
--- a/src/gateway/answer/stream.rs
+++ b/src/gateway/answer/stream.rs
@@ -3,13 +3,13 @@
 //! Until the caller has some of an answer, the answer may be dropped and another upstream
 //! or a larger model asked. From then on [`super::relay`] carries the stream.
 
+use super::buffered::{WholeAnswer, read_whole, why};
 use super::events::EventSplitter;
-use super::plain::{WholeAnswer, read_whole, why};
-use super::refusal::Why;
+use super::refusal::RefusalReason;
 use super::relay::Relay;
 use crate::clock::Now;
 use crate::gateway::Gateway;
-use crate::gateway::admit::job::{Job, NoTry, TryPlan};
+use crate::gateway::admit::request::{AdmittedRequest, AttemptPlan, NoAttempt};
 use crate::gateway::attempt::connect::http1_types;
 use crate::gateway::attempt::exchange::{Answer, Piece, Tried};
 use crate::gateway::attempt::patience::{Patience, patiently};
@@ -52,9 +52,12 @@
 }
 
 /// Serves a request until the first event is there.
-pub async fn begin(gw: &Rc<Gateway>, job: &Rc<Job>) -> Result<Begun, Why> {
-    let models = if job.chooses_model {
-        job.route.models.as_slice()
+pub async fn begin(
+    gw: &Rc<Gateway>,
+    request: &Rc<AdmittedRequest>,
+) -> Result<Begun, RefusalReason> {
+    let models = if request.chooses_model {
+        request.route.models.as_slice()
     } else {
         &[]
     };
@@ -64,45 +67,49 @@
     let mut failure = None;
     loop {
         let model = models.get(place).map(String::as_str);
-        let plan = TryPlan {
+        let plan = AttemptPlan {
             model,
             resume_after: None,
-            head: patience(gw, job, model, Now::read()),
+            head: patience(gw, request, model, Now::read()),
             repeat,
         };
         repeat = Repeat::Failure;
-        match job.try_once(gw, plan).await {
+        match request.run_attempt(gw, plan).await {
             Ok(Tried::Answered(answer)) if is_success(&answer) => {
-                if let Some(larger) = larger_model(gw, job, models, place, &answer) {
+                if let Some(larger) = larger_model(gw, request, models, place, &answer) {
                     place = larger;
                     repeat = Repeat::Escalation;
-                    job.tries.allow_all();
+                    request.tries.allow_all();
                     continue;
                 }
                 let headers = answer.headers.clone();
                 let model = models.get(place).cloned();
-                if let First::Came(relay) = first_event(gw, job, *answer, model).await {
+                if let First::Came(relay) = first_event(gw, request, *answer, model).await {
                     return Ok(Begun::Stream { headers, relay });
                 }
             }
-            Ok(Tried::Answered(answer)) => failure = take_failure(gw, job, *answer).await,
+            Ok(Tried::Answered(answer)) => failure = take_failure(gw, request, *answer).await,
             Ok(Tried::NotRun(_) | Tried::Unknown(_)) => {}
-            Err(NoTry::NoUpstream) if job.should_wait(gw, RETRY_PAUSE, Now::read()) => {
+            Err(NoAttempt::NoUpstream) if request.should_wait(gw, RETRY_PAUSE, Now::read()) => {
                 tokio::time::sleep(RETRY_PAUSE).await;
-                job.tries.allow_all();
+                request.tries.allow_all();
                 continue;
             }
-            Err(NoTry::Paused(pause)) if job.can_wait(pause.left(), Now::read()) => {
+            Err(NoAttempt::Paused(pause)) if request.can_wait(pause.left(), Now::read()) => {
                 tokio::time::sleep(pause.left()).await;
-                job.tries.allow_all();
+                request.tries.allow_all();
                 continue;
             }
-            Err(no_try) => return failure.map(Begun::Failed).ok_or_else(|| why(no_try, job)),
+            Err(no_try) => {
+                return failure
+                    .map(Begun::Failed)
+                    .ok_or_else(|| why(no_try, request));
+            }
         }
-        if !job.may_run_again() {
+        if !request.may_run_again() {
             return failure
                 .map(Begun::Failed)
-                .ok_or_else(|| job.tries.exhausted());
+                .ok_or_else(|| request.tries.exhausted());
         }
     }
 }
@@ -110,34 +117,40 @@
 /// Returns the place of the larger model that is to be asked in an answer's place, if any.
 fn larger_model(
     gw: &Gateway,
-    job: &Job,
+    request: &AdmittedRequest,
     models: &[String],
     place: usize,
     answer: &Answer,
 ) -> Option<usize> {
     let confidence = confidence(gw, answer);
     let now = Now::read();
-    let expected = job.expected_of_all(gw, models, now);
-    let left = job.left_of_objective(now);
+    let expected = request.expected_of_all(gw, models, now);
+    let left = request.left_of_objective(now);
     let begun = BegunAnswer {
         place,
         confidence,
-        rank_part: gw.rank_part(&job.route),
+        rank_part: gw.relative_rank(&request.route),
     };
     match judge(begun, &expected, left) {
         Verdict::PassOn => None,
         Verdict::PassOnUnsure => {
-            gw.telemetry
-                .unsure_passed_on(job, place, confidence, "no larger model in time", left);
+            gw.telemetry.record_unsure_answer(
+                request,
+                place,
+                confidence,
+                "no larger model in time",
+                left,
+            );
             None
         }
-        Verdict::AskLarger(_) if !may_escalate(gw, job, now) => {
+        Verdict::AskLarger(_) if !may_escalate(gw, request, now) => {
             gw.telemetry
-                .unsure_passed_on(job, place, confidence, "no repeat left", left);
+                .record_unsure_answer(request, place, confidence, "no repeat left", left);
             None
         }
         Verdict::AskLarger(larger) => {
-            gw.telemetry.escalated(job, place, larger, confidence);
+            gw.telemetry
+                .record_escalation(request, place, larger, confidence);
             Some(larger)
         }
     }
@@ -154,25 +167,30 @@
 
 /// Tells whether a larger model may be asked. A request on trial runs once: a second run would be
 /// one more upstream that it may crash.
-fn may_escalate(gw: &Gateway, job: &Job, now: Now) -> bool {
-    let has_room = gw.with_retries(&job.service, |window| {
+fn may_escalate(gw: &Gateway, request: &AdmittedRequest, now: Now) -> bool {
+    let has_room = gw.with_retry_window(&request.service, |window| {
         window.has_room(Repeat::Escalation, now)
     });
-    has_room && job.may_run_again() && !job.is_on_trial()
+    has_room && request.may_run_again() && !request.is_on_trial()
 }
 
 /// Returns how long to wait for the head of an answer.
-fn patience(gw: &Gateway, job: &Job, model: Option<&str>, now: Now) -> Patience {
-    let can_ask_others = job.can_repeat(gw, now) && !job.has_last_run_left();
-    match job.route.kind.is_repeatable() && can_ask_others {
-        true => first_event_patience(gw, job, model, now),
+fn patience(gw: &Gateway, request: &AdmittedRequest, model: Option<&str>, now: Now) -> Patience {
+    let can_ask_others = request.can_repeat(gw, now) && !request.has_last_run_left();
+    match request.route.kind.is_repeatable() && can_ask_others {
+        true => first_event_patience(gw, request, model, now),
         false => Patience::up_to(Duration::MAX),
     }
 }
 
-fn first_event_patience(gw: &Gateway, job: &Job, model: Option<&str>, now: Now) -> Patience {
-    let expected = job.expected(gw, model, now).total * EXPECTED_TIMES;
-    let part = |hundredths: u32| job.route.objective * hundredths / 100;
+fn first_event_patience(
+    gw: &Gateway,
+    request: &AdmittedRequest,
+    model: Option<&str>,
+    now: Now,
+) -> Patience {
+    let expected = request.expected(gw, model, now).total * EXPECTED_TIMES;
+    let part = |hundredths: u32| request.route.latency_objective * hundredths / 100;
     Patience {
         silent: part(SILENT_HUNDREDTHS),
         alive: part(ALIVE_HUNDREDTHS).max(expected),
@@ -183,17 +201,17 @@
 /// Waits for the first whole event.
 async fn first_event(
     gw: &Rc<Gateway>,
-    job: &Rc<Job>,
+    request: &Rc<AdmittedRequest>,
     mut answer: Answer,
     model: Option<String>,
 ) -> First {
     let mut splitter = EventSplitter::default();
     let now = Now::read();
-    let patience = match job.can_repeat(gw, now) {
-        true => first_event_patience(gw, job, model.as_deref(), now),
+    let patience = match request.can_repeat(gw, now) {
+        true => first_event_patience(gw, request, model.as_deref(), now),
         false => Patience::up_to(Duration::MAX),
     };
-    let patience = patience.within(job.left(now));
+    let patience = patience.within(request.left(now));
     let upstream = answer.upstream().clone();
     let read = async {
         loop {
@@ -213,21 +231,26 @@
     };
     let reason = match patiently(&gw.connections, &upstream, patience, read).await {
         Some(Ok(events)) => {
-            let relay = Relay::new(gw, job, answer, splitter, events, model);
+            let relay = Relay::new(gw, request, answer, splitter, events, model);
             return First::Came(Box::new(relay));
         }
         Some(Err(reason)) => {
             upstream.failed(Now::read());
-            job.broke_off(gw, &upstream, Now::read());
+            request.broke_off(gw, &upstream, Now::read());
             reason
         }
         None => "no event came in time".to_owned(),
     };
-    gw.telemetry.broke_off(job, answer.upstream(), &reason);
+    gw.telemetry
+        .record_broken_answer(request, answer.upstream(), &reason);
     First::NotYet
 }
 
-async fn take_failure(gw: &Gateway, job: &Job, mut answer: Answer) -> Option<WholeAnswer> {
+async fn take_failure(
+    gw: &Gateway,
+    request: &AdmittedRequest,
+    mut answer: Answer,
+) -> Option<WholeAnswer> {
     answer.upstream().failed(Now::read());
-    read_whole(gw, job, &mut answer, FAILURE_BYTES_LIMIT).await
+    read_whole(gw, request, &mut answer, FAILURE_BYTES_LIMIT).await
 }
--- a/src/gateway/attempt/crash.rs
+++ b/src/gateway/attempt/crash.rs
@@ -131,7 +131,7 @@
             return;
         }
         for run in runs {
-            self.telemetry.ran_at_crash(upstream, *run);
+            self.telemetry.record_request_at_crash(upstream, *run);
             let life = upstream.short_hash();
             self.quarantine.crashed(life, run.request, run.part, now);
         }
@@ -160,7 +160,7 @@
     if let Ok(connection) = opened {
         gw.connections.rest(upstream.life(), connection, now);
     }
-    gw.telemetry.checked_after_break(&upstream, found);
+    gw.telemetry.record_upstream_check(&upstream, found);
     for run in gw.crashes.checked(upstream.life(), found) {
         if run.part == Part::OnTrial {
             gw.quarantine.end_trial(run.request, now);
--- a/src/gateway/attempt/tries.rs
+++ b/src/gateway/attempt/tries.rs
@@ -2,7 +2,7 @@
 
 use super::exchange::{NotRun, Tried};
 use super::upstream::Upstream;
-use crate::gateway::answer::refusal::{Ran, Why};
+use crate::gateway::answer::refusal::{Execution, RefusalReason};
 use crate::gateway::control::store::UpstreamLife;
 use std::cell::{Cell, RefCell};
 
@@ -55,19 +55,19 @@
     }
 
     /// Tells what may be said of the request.
-    pub fn ran(&self) -> Ran {
+    pub fn ran(&self) -> Execution {
         match self.may_have_run.get() {
-            true => Ran::Perhaps,
-            false => Ran::Nowhere,
+            true => Execution::Possible,
+            false => Execution::Never,
         }
     }
 
     /// Returns why no upstream is left: they refused, or there was none.
-    pub fn exhausted(&self) -> Why {
+    pub fn exhausted(&self) -> RefusalReason {
         match (self.ran(), self.refused.get()) {
-            (Ran::Perhaps, _) => Why::UpstreamFailed,
-            (Ran::Nowhere, true) => Why::Full,
-            (Ran::Nowhere, false) => Why::NoUpstream,
+            (Execution::Possible, _) => RefusalReason::UpstreamFailed,
+            (Execution::Never, true) => RefusalReason::Full,
+            (Execution::Never, false) => RefusalReason::NoUpstream,
         }
     }
 
--- a/src/gateway/control/first_reads.rs
+++ b/src/gateway/control/first_reads.rs
@@ -164,7 +164,7 @@
     fn plan(&self, gw: &Gateway) -> FirstRead {
         let settings = gw.settings();
         let own = Own {
-            address: settings.peers,
+            address: settings.peer_addr,
             link_mbps: settings.link_mbps,
         };
         let boxes = self.boxes.iter().map(|known| &known.entry);
@@ -176,7 +176,7 @@
 pub async fn read_hall(gw: &Gateway, store: &dyn ControlStore) -> Option<Hall> {
     let settings = gw.settings();
     let sent = Now::read();
-    gw.telemetry.store_called("hall");
+    gw.telemetry.count_store_call("hall");
     match store.read_hall(&settings.hall).await {
         Ok(boxes) => {
             let now = Now::read();
@@ -245,7 +245,7 @@
 
 /// Takes what a reader told; false if it cannot be used.
 fn take(gw: &Gateway, store: &dyn ControlStore, told: &Everything, asked: Now) -> bool {
-    gw.telemetry.received("first", told.changes.len());
+    gw.telemetry.count_item_bytes("first", told.changes.len());
     let as_of = told.as_of(asked);
     let unpacked = gw.mirror.borrow().unpack(told.changes.clone());
     let changes = match unpacked {
@@ -254,7 +254,7 @@
     };
     take_changes(gw, store, changes, "first");
     if let Some(as_of) = as_of {
-        gw.confirm(as_of);
+        gw.confirm_fresh_as_of(as_of);
     }
     gw.knowledge.borrow().routes().is_some()
 }
--- a/src/gateway/control/follow.rs
+++ b/src/gateway/control/follow.rs
@@ -104,11 +104,13 @@
         let mut knowledge = gw.knowledge.borrow_mut();
         for change in knowledge.drop_lapsed(now) {
             gw.telemetry
-                .learned(&change, "lapse", gw.mirror.borrow().revision());
+                .record_change(&change, "lapse", gw.mirror.borrow().revision());
         }
-        gw.telemetry.aged(knowledge.age(now), knowledge.lag(now));
+        gw.telemetry
+            .record_knowledge_age(knowledge.age(now), knowledge.lag(now));
         knowledge.forget_leaving(now);
-        gw.telemetry.faulty_upstreams(knowledge.faulty_count());
+        gw.telemetry
+            .record_faulty_upstreams(knowledge.faulty_count());
         drop(knowledge);
         gw.connections.close_stale(now);
         gw.sessions.borrow_mut().forget(now);
@@ -137,18 +139,23 @@
         if let Some(update) = store.decode(item) {
             let change = knowledge.apply(update, now);
             if !(summarized && change.is_addition()) {
-                gw.telemetry.learned(&change, source, revision);
+                gw.telemetry.record_change(&change, source, revision);
             }
             if let Change::Routes(version) = change {
                 let bytes = item.value.as_ref().map_or(0, Vec::len);
-                gw.telemetry
-                    .in_force(version, source, bytes, lag, knowledge.age(now));
+                gw.telemetry.record_config_in_force(
+                    version,
+                    source,
+                    bytes,
+                    lag,
+                    knowledge.age(now),
+                );
             }
         }
     }
     knowledge.reach(reached);
     if !news.is_empty() {
-        gw.news.notify_waiters();
+        gw.items_changed.notify_waiters();
     }
 }
 
@@ -232,7 +239,7 @@
 
     /// Reads the next page; false if the store did not answer.
     async fn read_page(&mut self, gw: &Gateway, store: &dyn ControlStore) -> bool {
-        gw.telemetry.store_called("list");
+        gw.telemetry.count_store_call("list");
         let page = match store.read_page(self.next.as_deref()).await {
             Ok(page) => page,
             Err(err) => {
@@ -256,7 +263,7 @@
             items: self.items,
         };
         take_changes(gw, store, changes, "list");
-        gw.confirm(self.began);
+        gw.confirm_fresh_as_of(self.began);
     }
 }
 
@@ -283,7 +290,7 @@
             continue;
         }
         let after = gw.mirror.borrow().revision();
-        gw.telemetry.store_called("watch");
+        gw.telemetry.count_store_call("watch");
         match store.watch(after, WATCH_WAIT).await {
             Ok(Watched::Changes(items, revision)) => {
                 gw.store_answered(Now::read());
@@ -310,7 +317,7 @@
         let age = gw.knowledge.borrow().age(Now::read());
         let oldest = match gw.is_hub() {
             true => HUB_AGE,
-            false => gw.settings().bounds.own_check_age(),
+            false => gw.settings().bounds.store_check_age(),
         };
         if age.is_some_and(|age| age < oldest) || is_receiving(gw, store) {
             continue;
@@ -326,7 +333,7 @@
 /// Compares the store's revision with what is known; false if the store did not answer.
 async fn check_once(gw: &Gateway, store: &dyn ControlStore) -> bool {
     let sent = Now::read();
-    gw.telemetry.store_called("check");
+    gw.telemetry.count_store_call("check");
     let revision = match store.read_revision().await {
         Ok(revision) => revision,
         Err(err) => {
@@ -351,14 +358,14 @@
         log::info!(revision; "changes did not bring this box up to date, everything is read anew");
         return read_pages(gw, store, FAILURES_OF_A_CHECK).await;
     }
-    gw.confirm(sent.monotonic);
+    gw.confirm_fresh_as_of(sent.monotonic);
     true
 }
 
 /// Tells whether something is on its way to this box, perhaps what it lacks: a second copy
 /// beside it would only make both late.
 fn is_receiving(gw: &Gateway, store: &dyn ControlStore) -> bool {
-    gw.asking.is_fetching() || store.is_receiving()
+    gw.hub_queries.is_fetching() || store.is_receiving()
 }
 
 fn is_behind(gw: &Gateway, revision: u64) -> bool {
@@ -370,7 +377,7 @@
 async fn read_changes(gw: &Gateway, store: &dyn ControlStore) -> bool {
     let after = gw.mirror.borrow().revision();
     log::info!(after; "this box has fallen behind, the changes are read");
-    gw.telemetry.store_called("changes");
+    gw.telemetry.count_store_call("changes");
     match store.watch(after, CHANGES_WAIT).await {
         Ok(Watched::Changes(items, revision)) => take_items(gw, store, items, revision, "changes"),
         Ok(Watched::HistoryGone) => log::warn!(after; "the store's history is gone"),
--- a/src/gateway/control/knowledge.rs
+++ b/src/gateway/control/knowledge.rs
@@ -322,14 +322,14 @@
     /// Returns what this box may say by what it has.
     pub fn proof(&self, bounds: &Bounds, now: Now) -> Proof {
         let lag = self.lag(now);
-        if lag.is_some_and(|lag| lag > bounds.longest_lag()) {
+        if lag.is_some_and(|lag| lag > bounds.max_config_lag()) {
             return Proof::Outdated;
         }
         let is_younger = |than: Duration| self.age(now).is_some_and(|age| age < than);
-        if lag.is_none() && is_younger(bounds.denial_lifetime()) {
+        if lag.is_none() && is_younger(bounds.max_denial_proof_age()) {
             return Proof::Newest;
         }
-        match is_younger(bounds.key_lifetime()) {
+        match is_younger(bounds.max_key_proof_age()) {
             true => Proof::KeysHold,
             false => Proof::None,
         }
--- a/src/gateway/control/leading.rs
+++ b/src/gateway/control/leading.rs
@@ -90,7 +90,7 @@
         None => (None, 0),
     };
     let next = next_record(&order, record, progress)?;
-    gw.telemetry.store_called("write");
+    gw.telemetry.count_store_call("write");
     match store.write_rollout(&next, expected).await {
         Ok(RecordWritten::At(revision)) => {
             log::info!(
--- a/src/gateway/control/membership.rs
+++ b/src/gateway/control/membership.rs
@@ -33,7 +33,7 @@
     }
     let entry = BoxEntry::of(&gw);
     while !gw.is_stopping() {
-        gw.telemetry.store_called("register");
+        gw.telemetry.count_store_call("register");
         match store.register(&entry, LEASE).await {
             Ok(lease) => {
                 log::info!(lease, box_name = entry.name.as_str(); "registered");
@@ -48,7 +48,7 @@
 }
 
 async fn take_over(gw: &Gateway, store: &dyn ControlStore, former: RegisteredBox) {
-    gw.telemetry.store_called("renew");
+    gw.telemetry.count_store_call("renew");
     match store.renew(former.lease).await {
         Ok(true) => {
             let (lease, name) = (former.lease, former.entry.name.as_str());
@@ -73,9 +73,9 @@
     pub fn of(gw: &Gateway) -> Self {
         let settings = gw.settings();
         Self {
-            name: gw.life.clone(),
+            name: gw.incarnation.clone(),
             hall: settings.hall.clone(),
-            address: settings.peers,
+            address: settings.peer_addr,
             link_mbps: settings.link_mbps,
             registered: 0,
         }
@@ -89,7 +89,7 @@
         if gw.is_stopping() {
             return;
         }
-        gw.telemetry.store_called("renew");
+        gw.telemetry.count_store_call("renew");
         match store.renew(lease).await {
             Ok(true) => {}
             Ok(false) => return,
@@ -110,10 +110,10 @@
 /// By address and not by life, so that a box which was restarted leads at once and not only
 /// when the lease of its last life is over.
 pub fn place_in_line(gw: &Gateway, now: Now) -> Option<usize> {
-    let own = gw.settings().peers;
+    let own = gw.settings().peer_addr;
     let knowledge = gw.knowledge.borrow();
     let boxes = knowledge.boxes_by_age();
-    let lively = gw.heard.borrow().lively(&boxes, own, now);
+    let lively = gw.last_contacts.borrow().lively(&boxes, own, now);
     let hears_enough = lively.len() * 2 > boxes.len();
     let place = lively.iter().position(|entry| entry.address == own);
     place.filter(|_| hears_enough)
--- a/src/gateway/peers/asking.rs
+++ b/src/gateway/peers/asking.rs
@@ -115,9 +115,9 @@
 pub async fn ask(gw: &Gateway, send: impl AsyncFn(SocketAddr, Question)) {
     let mut turn = 0;
     loop {
-        await_next_question(&gw.asking).await;
+        await_next_question(&gw.hub_queries).await;
         let now = Now::read();
-        if gw.is_hub() && gw.knows_within(TRUSTED_AGE, now) {
+        if gw.is_hub() && gw.has_knowledge_within(TRUSTED_AGE, now) {
             continue;
         }
         let Some(hub) = next_hub(gw, &mut turn, now) else {
@@ -126,13 +126,13 @@
         let question = Question {
             after: gw.mirror.borrow().revision(),
             asked_micros: u64::try_from(now.monotonic.as_micros()).unwrap_or(u64::MAX),
-            fetching: gw.asking.fetching.get(),
+            fetching: gw.hub_queries.fetching.get(),
         };
         if question.fetching != Fetching::UnderWay {
             // A failure is told once; the next hub may know of no other sender.
-            gw.asking.fetching.set(Fetching::None);
+            gw.hub_queries.fetching.set(Fetching::None);
         }
-        gw.asking.asks(hub, now);
+        gw.hub_queries.asks(hub, now);
         send(hub, question).await;
     }
 }
@@ -158,10 +158,10 @@
     let is_hub = |entry: &&BoxEntry| asked.iter().any(|hub| hub.address == entry.address);
     others.retain(|entry| !is_hub(entry));
     asked.extend(others.into_iter().take(OTHERS_ASKED));
-    asked.retain(|entry| entry.address != settings.peers);
+    asked.retain(|entry| entry.address != settings.peer_addr);
     let trusted = asked
         .iter()
-        .find(|entry| gw.asking.is_trusted(entry.address, now));
+        .find(|entry| gw.hub_queries.is_trusted(entry.address, now));
     if let Some(entry) = trusted {
         return Some(entry.address);
     }
@@ -175,7 +175,7 @@
     let now = Now::read();
     let age = Duration::from_millis(told.age_ms);
     if told.asked_micros.is_some() {
-        gw.asking.answered(hub, age, now);
+        gw.hub_queries.answered(hub, age, now);
     }
     let own = gw.mirror.borrow().revision();
     if told.revision > own {
@@ -186,11 +186,11 @@
         // News for a box that is further on; the next question brings what this one lacks.
         return;
     }
-    gw.telemetry.received("hub", told.changes.len());
+    gw.telemetry.count_item_bytes("hub", told.changes.len());
     let unpacked = gw.mirror.borrow().unpack(told.changes);
     match (unpacked, told.rest) {
         (Ok(changes), None) => {
-            gw.asking.unusable.set(0);
+            gw.hub_queries.unusable.set(0);
             take_changes(gw, &**store, changes, "hub");
         }
         (Ok(changes), Some(source)) => {
@@ -199,7 +199,7 @@
         }
         (Err(err), _) => {
             unusable(gw, &err, hub);
-            if gw.asking.wants_whole() {
+            if gw.hub_queries.wants_whole() {
                 fetch_rest(gw, store, Source::Hub, hub);
             }
         }
@@ -208,41 +208,43 @@
         && gw.mirror.borrow().revision() >= told.revision
         && let Some(as_of) = Duration::from_micros(asked).checked_sub(age)
     {
-        gw.confirm(as_of);
+        gw.confirm_fresh_as_of(as_of);
     }
 }
 
 /// Notes that something came which cannot be used; the next question is due soon.
 fn unusable(gw: &Gateway, err: &Unusable, from: SocketAddr) {
-    gw.asking.unusable.set(gw.asking.unusable.get() + 1);
-    gw.asking.ask_again_soon();
+    gw.hub_queries
+        .unusable
+        .set(gw.hub_queries.unusable.get() + 1);
+    gw.hub_queries.ask_again_soon();
     let reason = err.to_string();
     log::warn!(from = from.to_string().as_str(), reason = reason.as_str(); "items cannot be used, what was known stays in force");
 }
 
 /// Begins to fetch, unless a fetch is under way.
 fn fetch_rest(gw: &Rc<Gateway>, store: &Rc<dyn ControlStore>, source: Source, hub: SocketAddr) {
-    if gw.asking.is_fetching() {
+    if gw.hub_queries.is_fetching() {
         return;
     }
     let from = match source {
         Source::Hub => hub,
         Source::Other(address) => address,
         Source::AskAgain => {
-            gw.asking.ask_again_soon();
+            gw.hub_queries.ask_again_soon();
             return;
         }
     };
-    gw.asking.fetching.set(Fetching::UnderWay);
+    gw.hub_queries.fetching.set(Fetching::UnderWay);
     let (gw, store) = (gw.clone(), store.clone());
     actix_rt::spawn(async move {
         let is_taken = fetch_and_take(&gw, &*store, from).await;
-        gw.asking.fetching.set(match is_taken {
+        gw.hub_queries.fetching.set(match is_taken {
             true => Fetching::None,
             false => Fetching::Failed(source),
         });
         // The hub learns that its sender is free, and brings the proof of freshness.
-        gw.asking.ask_now.notify_one();
+        gw.hub_queries.ask_now.notify_one();
     });
 }
 
@@ -251,17 +253,18 @@
     let began = Now::read();
     let wanted = Wanted {
         after: gw.mirror.borrow().revision(),
-        as_a_whole: gw.asking.wants_whole(),
+        as_a_whole: gw.hub_queries.wants_whole(),
     };
     let progress = Progress::default();
     let fetched = fetch(from, wanted, &progress).await;
-    gw.telemetry.received("fetch", progress.bytes());
+    gw.telemetry.count_item_bytes("fetch", progress.bytes());
     let outcome = match fetched {
         Ok(packed) => take_fetched(gw, store, packed),
         Err(err) => Err(FetchError::Lost(err)),
     };
     let took = Now::read().monotonic.saturating_sub(began.monotonic);
-    gw.telemetry.fetched(from, &outcome, progress.bytes(), took);
+    gw.telemetry
+        .record_fetch(from, &outcome, progress.bytes(), took);
     if let Err(FetchError::Unusable(err)) = &outcome {
         unusable(gw, err, from);
     }
@@ -314,7 +317,7 @@
         .borrow()
         .unpack(packed)
         .map_err(FetchError::Unusable)?;
-    gw.asking.unusable.set(0);
+    gw.hub_queries.unusable.set(0);
     take_changes(gw, store, changes, "fetch");
     Ok(())
 }
--- a/src/gateway/peers/fetch.rs
+++ b/src/gateway/peers/fetch.rs
@@ -264,7 +264,7 @@
             (EVERYTHING_PATH, None) => everything(gw).await?,
             _ => return Err(WireError::NoAnswer("it asks for something else".to_owned())),
         };
-        gw.telemetry.told_boxes("items", answer.len());
+        gw.telemetry.count_peer_bytes("items", answer.len());
         let mut body = respond.send_response(head, false).map_err(lost)?;
         body.send_data(answer, true).map_err(lost)?;
     }
@@ -311,7 +311,7 @@
 /// Answers a box that starts, as soon as this one knows something itself.
 async fn everything(gw: &Gateway) -> Result<(http::Response<()>, Bytes), WireError> {
     let asked = Now::read();
-    timeout(FIRST_KNOWLEDGE_WAIT, gw.await_first_knowledge())
+    timeout(FIRST_KNOWLEDGE_WAIT, gw.wait_for_first_config())
         .await
         .map_err(|_elapsed| no_answer("this box knows nothing yet"))?;
     let now = Now::read();
--- a/src/gateway/peers/hubs.rs
+++ b/src/gateway/peers/hubs.rs
@@ -177,7 +177,7 @@
     let mut told_before = gw.mirror.borrow().revision();
     loop {
         // Made before the look at the revision, so that no news in between is missed.
-        let news = gw.news.notified();
+        let news = gw.items_changed.notified();
         let revision = gw.mirror.borrow().revision();
         if revision == told_before {
             news.await;
@@ -219,7 +219,7 @@
     }
     // Hubs ask nobody while they reach the store, and the one with the wider link has a
     // large change long before the other.
-    let own = gw.settings().peers;
+    let own = gw.settings().peer_addr;
     let knowledge = gw.knowledge.borrow();
     for hub in choose_hubs(knowledge.boxes()) {
         let is_told = askers.iter().any(|(address, _)| *address == hub.address);
--- a/src/gateway/peers/leaving.rs
+++ b/src/gateway/peers/leaving.rs
@@ -14,8 +14,8 @@
     pub fn hear_leaving(&self, upstream: &Upstream, now: Now) {
         let mut knowledge = self.knowledge.borrow_mut();
         if knowledge.note_leaving(upstream.life(), now) {
-            self.telemetry.upstream_leaves(upstream, "answer");
-            self.leaving.push(upstream.short_hash());
+            self.telemetry.record_leaving_upstream(upstream, "answer");
+            self.leaving_upstreams.push(upstream.short_hash());
         }
     }
 
@@ -26,7 +26,7 @@
         let named: Vec<Rc<Upstream>> = knowledge.upstreams().filter(is_named).cloned().collect();
         for upstream in named {
             if knowledge.note_leaving(upstream.life(), now) {
-                self.telemetry.upstream_leaves(&upstream, "box");
+                self.telemetry.record_leaving_upstream(&upstream, "box");
             }
         }
     }
@@ -35,7 +35,7 @@
 /// Tells all other boxes at once, for as long as the process lives.
 pub async fn tell_leaving(gw: &Gateway, send: impl AsyncFn(&[SocketAddr], Vec<u32>)) {
     loop {
-        let hashes = gw.leaving.next().await;
+        let hashes = gw.leaving_upstreams.next().await;
         let others = gw.other_boxes();
         send(&others, hashes).await;
     }
--- a/src/gateway/peers/messages.rs
+++ b/src/gateway/peers/messages.rs
@@ -76,7 +76,7 @@
 
 /// Exchanges messages for as long as the process lives.
 pub async fn exchange(gw: Rc<Gateway>, store: Rc<dyn ControlStore>) -> Result<()> {
-    let address = gw.settings().peers;
+    let address = gw.settings().peer_addr;
     let error = |err| Error::Unreachable(format!("cannot listen on {address}: {err}"));
     let socket = UdpSocket::bind(address).await.map_err(error)?;
     let listener = TcpListener::bind(address).await.map_err(error)?;
@@ -112,7 +112,7 @@
         match socket.recv_from(&mut buf).await {
             Ok((len, from)) => {
                 let datagram = buf.get(..len).unwrap_or_default();
-                gw.heard.borrow_mut().hear(from, Now::read());
+                gw.last_contacts.borrow_mut().hear(from, Now::read());
                 match datagram::read::<PeerMessage>(datagram) {
                     Ok(message) => take(gw, store, socket, message, from).await,
                     Err(err) => log::warn!("a datagram from {from} cannot be read: {err}"),
@@ -141,10 +141,10 @@
             gw.knowledge.borrow_mut().hear_elapsed(order, elapsed, now);
         }
         PeerMessage::FoundBad(order) => gw.take_finding(order, &from.to_string()),
-        PeerMessage::Load(load) => gw.loads.borrow_mut().take(load, now),
+        PeerMessage::Load(load) => gw.peer_loads.borrow_mut().take(load, now),
         PeerMessage::LongReads(reads) => {
             let knowledge = gw.knowledge.borrow();
-            let mut loads = gw.loads.borrow_mut();
+            let mut loads = gw.peer_loads.borrow_mut();
             for read in reads {
                 loads.take_long_read(read, &knowledge, now);
             }
@@ -191,7 +191,7 @@
         }
     };
     gw.telemetry
-        .told_boxes(message.purpose(), datagram.len() * to.len());
+        .count_peer_bytes(message.purpose(), datagram.len() * to.len());
     for address in to {
         if let Err(err) = socket.send_to(&datagram, address).await {
             log::debug!("a message cannot be sent to {address}: {err}");
@@ -259,9 +259,9 @@
     let settings = gw.settings();
     let knowledge = gw.knowledge.borrow();
     let boxes = knowledge.boxes_by_age();
-    let heard = gw.heard.borrow();
-    let mut lively = heard.lively(&boxes, settings.peers, now);
-    lively.retain(|entry| entry.address != settings.peers);
+    let heard = gw.last_contacts.borrow();
+    let mut lively = heard.lively(&boxes, settings.peer_addr, now);
+    lively.retain(|entry| entry.address != settings.peer_addr);
     let of_hall = lively.iter().find(|entry| entry.hall == settings.hall);
     let mut told: Vec<SocketAddr> = lively
         .iter()
@@ -302,7 +302,7 @@
     loop {
         let others = gw.other_boxes();
         sleep(interval(others.len())).await;
-        let load = BoxLoad::of(&gw.life, &gw.knowledge.borrow());
+        let load = BoxLoad::of(&gw.incarnation, &gw.knowledge.borrow());
         let is_idle = load.is_idle();
         // While a version is under trial, a silent box is taken for one that is gone.
         let has_trial = gw.knowledge.borrow().has_rollout();
@@ -312,7 +312,7 @@
         was_idle = is_idle;
         let now = Now::read();
         let knowledge = gw.knowledge.borrow();
-        gw.loads.borrow_mut().spread(&knowledge, now);
+        gw.peer_loads.borrow_mut().spread(&knowledge, now);
     }
 }
 
--- a/src/gateway/peers/suspects.rs
+++ b/src/gateway/peers/suspects.rs
@@ -70,12 +70,13 @@
 
 /// Returns where this box begins its turns, so that not all boxes tell the same one.
 fn own_place(gw: &Gateway) -> usize {
-    usize::from(gw.settings().peers.port()) + gw.life.bytes().map(usize::from).sum::<usize>()
+    usize::from(gw.settings().peer_addr.port())
+        + gw.incarnation.bytes().map(usize::from).sum::<usize>()
 }
 
 /// Returns the addresses of boxes that have registered since the last look.
 fn newly_registered(gw: &Gateway, known: &mut HashSet<String>) -> Vec<SocketAddr> {
-    let own = gw.settings().peers;
+    let own = gw.settings().peer_addr;
     let knowledge = gw.knowledge.borrow();
     let joined = knowledge
         .boxes()
--- a/src/gateway/place/candidates.rs
+++ b/src/gateway/place/candidates.rs
@@ -72,9 +72,9 @@
             None => Vec::new(),
         };
         let fleet = Fleet {
-            own: self.settings().peers,
+            own: self.settings().peer_addr,
             boxes: &boxes,
-            up_for: self.up_for(now),
+            up_for: self.uptime(now),
         };
         let pause = |upstream: &Rc<Upstream>| {
             let rest = upstream.asked_rest_left(now).map(Pause::Resting);
--- a/src/gateway/place/models.rs
+++ b/src/gateway/place/models.rs
@@ -64,7 +64,7 @@
     /// How sure the model is of it, from 0 to 100, where it says so.
     pub confidence: Option<u32>,
     /// How far down the route's rank is; see
-    /// [`RouteTable::rank_part`](crate::gateway::admit::routes::RouteTable::rank_part).
+    /// [`RouteTable::relative_rank`](crate::gateway::admit::routes::RouteTable::relative_rank).
     pub rank_part: f64,
 }
 
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -13,13 +13,13 @@
     /// Its hall.
     pub hall: String,
     /// Where callers connect.
-    pub callers: SocketAddr,
+    pub caller_addr: SocketAddr,
     /// Where the balancer asks whether the box takes new connections.
-    pub readiness: SocketAddr,
+    pub readiness_addr: SocketAddr,
     /// Where other boxes send what they have seen.
-    pub peers: SocketAddr,
+    pub peer_addr: SocketAddr,
     /// Where counters and histograms are served.
-    pub metrics: SocketAddr,
+    pub metrics_addr: SocketAddr,
     /// The rate of the box's link in megabits a second; 0 where the platform does not say.
     pub link_mbps: u32,
     /// Whether the whole system starts for the first time, so that no box is registered yet.
@@ -32,17 +32,17 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
     /// The time from the signal to stop to the process's end at the latest.
-    pub grace: Duration,
+    pub grace_period: Duration,
     /// The time after which a key that was taken away must not serve any more.
-    pub revoke: Duration,
+    pub revocation_delay: Duration,
     /// The time after which a confirmed change of the configuration has to be in force.
-    pub config: Duration,
+    pub config_delay: Duration,
     /// How many repeats all boxes together may send.
     pub retries: RetryBound,
     /// The longest pause between two requests of a session.
-    pub session: Duration,
+    pub session_idle_limit: Duration,
     /// What becomes of requests with a key when nothing proves that the key still holds.
-    pub unproved_keys: UnprovedKeys,
+    pub unverified_key_policy: UnverifiedKeyPolicy,
     /// How far a bad version may be used.
     pub exposure: ExposureBound,
 }
@@ -50,7 +50,7 @@
 /// What becomes of requests with a key while nothing proves any more that it still holds,
 /// because the store and every way around it are away.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum UnprovedKeys {
+pub enum UnverifiedKeyPolicy {
     /// They are refused: the operators want a key that was taken away to stop everywhere
     /// within the bound, on boxes that hear of nothing too.
     Refuse,
@@ -83,19 +83,19 @@
 
 impl Bounds {
     /// Returns the time from the signal to stop to the process's end at the latest.
-    pub fn time_to_end(&self) -> Duration {
-        self.grace.saturating_sub(GRACE_MARGIN)
+    pub fn max_stop_duration(&self) -> Duration {
+        self.grace_period.saturating_sub(GRACE_MARGIN)
     }
 
     /// Returns how old the last proof may be by which keys are served.
-    pub fn key_lifetime(&self) -> Duration {
-        self.revoke.saturating_sub(REVOKE_MARGIN)
+    pub fn max_key_proof_age(&self) -> Duration {
+        self.revocation_delay.saturating_sub(REVOKE_MARGIN)
     }
 
     /// Returns how old a proof may be by which a box says that a route or a key does not
     /// exist: within it, all changes are known that callers may count on.
-    pub fn denial_lifetime(&self) -> Duration {
-        self.config.saturating_sub(CONFIG_MARGIN)
+    pub fn max_denial_proof_age(&self) -> Duration {
+        self.config_delay.saturating_sub(CONFIG_MARGIN)
     }
 
     /// Returns the age of knowledge at which a box that is no hub calls the store itself.
@@ -103,12 +103,14 @@
     /// Later is cheaper: while the hubs read everything anew, which takes them a second where
     /// the store's history is gone, each other box calls three times and more if it comes to
     /// this age meanwhile.
-    pub fn own_check_age(&self) -> Duration {
-        self.config.mul_f64(OWN_CHECK_PART).min(LATEST_OWN_CHECK)
+    pub fn store_check_age(&self) -> Duration {
+        self.config_delay
+            .mul_f64(OWN_CHECK_PART)
+            .min(LATEST_OWN_CHECK)
     }
 
     /// Returns how long a box may serve by what it has after it heard of something newer.
-    pub fn longest_lag(&self) -> Duration {
-        self.config.saturating_sub(HEARING)
+    pub fn max_config_lag(&self) -> Duration {
+        self.config_delay.saturating_sub(HEARING)
     }
 }
--- a/src/gateway/telemetry.rs
+++ b/src/gateway/telemetry.rs
@@ -2,8 +2,8 @@
 //!
 //! `docs/OPERATIONS.md` shows how to get from a request's id to the cause of its failure.
 
-use super::admit::job::{Job, TryPlan};
-use super::answer::refusal::{Ran, Why};
+use super::admit::request::{AdmittedRequest, AttemptPlan};
+use super::answer::refusal::{Execution, RefusalReason};
 use super::attempt::crash::BrokenRun;
 use super::attempt::exchange::Tried;
 use super::attempt::upstream::Upstream;
@@ -111,7 +111,13 @@
     }
 
     /// Records a try.
-    pub fn tried(&self, job: &Job, choice: &Choice, tried: &Tried, plan: TryPlan<'_>) {
+    pub fn record_attempt(
+        &self,
+        request: &AdmittedRequest,
+        choice: &Choice,
+        tried: &Tried,
+        plan: AttemptPlan<'_>,
+    ) {
         let outcome = match tried {
             Tried::Answered(_) => "answered",
             Tried::NotRun(_) => "not-run",
@@ -121,17 +127,17 @@
         let upstream = &choice.upstream;
         let listed = upstream.listed();
         log::info!(
-            request = job.request_id.as_str(),
-            fingerprint = job.fingerprint.to_string().as_str(),
-            route = job.route.name.as_str(),
-            config = job.config_version,
+            request = request.request_id.as_str(),
+            fingerprint = request.fingerprint.to_string().as_str(),
+            route = request.route.name.as_str(),
+            config = request.config_version,
             upstream = listed.instance.as_str(),
             version = listed.version.as_str(),
             model = plan.model.unwrap_or(""),
-            session = job.session.as_str(),
-            shared = job.prompt.shared.as_deref().unwrap_or(""),
+            session = request.session_id.as_str(),
+            shared = request.prompt.shared.as_deref().unwrap_or(""),
             after_event = plan.resume_after.unwrap_or(""),
-            attempt = job.tries.sent(),
+            attempt = request.tries.sent(),
             ahead_ms = millis(choice.ahead),
             reading_ms = millis(choice.reading),
             beginning = choice.beginning.name(),
@@ -143,17 +149,22 @@
     }
 
     /// Records that an answer broke off or came too late.
-    pub fn broke_off(&self, job: &Job, upstream: &Upstream, reason: &str) {
+    pub fn record_broken_answer(
+        &self,
+        request: &AdmittedRequest,
+        upstream: &Upstream,
+        reason: &str,
+    ) {
         let instance = upstream.with_listed(|listed| listed.instance.clone());
         log::warn!(
-            request = job.request_id.as_str(),
+            request = request.request_id.as_str(),
             upstream = instance.as_str();
             "answer broke off: {reason}"
         );
     }
 
     /// Records what was found of an upstream where a run broke off.
-    pub fn checked_after_break(&self, upstream: &Upstream, found: AfterBreak) {
+    pub fn record_upstream_check(&self, upstream: &Upstream, found: AfterBreak) {
         let instance = upstream.with_listed(|listed| listed.instance.clone());
         let upstream = instance.as_str();
         match found {
@@ -166,7 +177,7 @@
     }
 
     /// Records a request that ran at an upstream when it crashed.
-    pub fn ran_at_crash(&self, upstream: &Upstream, run: BrokenRun) {
+    pub fn record_request_at_crash(&self, upstream: &Upstream, run: BrokenRun) {
         let instance = upstream.with_listed(|listed| listed.instance.clone());
         log::warn!(
             upstream = instance.as_str(),
@@ -177,16 +188,22 @@
     }
 
     /// Records that an upstream has said in an answer that it leaves, here or to another box.
-    pub fn upstream_leaves(&self, upstream: &Upstream, source: &str) {
+    pub fn record_leaving_upstream(&self, upstream: &Upstream, source: &str) {
         let instance = upstream.with_listed(|listed| listed.instance.clone());
         let upstream = instance.as_str();
         log::info!(upstream, source; "the upstream has said that it leaves, nothing more is sent there");
     }
 
     /// Records that a smaller model's answer was dropped.
-    pub fn escalated(&self, job: &Job, place: usize, larger: usize, confidence: Option<u32>) {
+    pub fn record_escalation(
+        &self,
+        request: &AdmittedRequest,
+        place: usize,
+        larger: usize,
+        confidence: Option<u32>,
+    ) {
         log::info!(
-            request = job.request_id.as_str(),
+            request = request.request_id.as_str(),
             model = place,
             asked_next = larger,
             confidence = confidence.unwrap_or(0);
@@ -195,16 +212,16 @@
     }
 
     /// Records that a smaller model's answer is passed on though the model is unsure of it.
-    pub fn unsure_passed_on(
+    pub fn record_unsure_answer(
         &self,
-        job: &Job,
+        request: &AdmittedRequest,
         place: usize,
         confidence: Option<u32>,
         reason: &str,
         left: Duration,
     ) {
         log::info!(
-            request = job.request_id.as_str(),
+            request = request.request_id.as_str(),
             model = place,
             confidence = confidence.unwrap_or(0),
             left_ms = millis(left);
@@ -213,38 +230,44 @@
     }
 
     /// Records an answer that is passed on.
-    pub fn passed_on(&self, job: &Job, status: u16, now: Now) {
-        let took = now.monotonic.saturating_sub(job.received);
+    pub fn record_answer(&self, request: &AdmittedRequest, status: u16, now: Now) {
+        let took = now.monotonic.saturating_sub(request.received);
         let status_label = KeyValue::new("status", i64::from(status));
         self.answers.add(1, &[status_label]);
-        let route = KeyValue::new("route", job.route.name.clone());
+        let route = KeyValue::new("route", request.route.name.clone());
         self.latency.record(took.as_secs_f64(), &[route]);
         log::info!(
-            request = job.request_id.as_str(),
+            request = request.request_id.as_str(),
             status,
             took_ms = millis(took),
-            tries = job.tries.sent();
+            tries = request.tries.sent();
             "passed on"
         );
     }
 
     /// Records when the first event of a try came.
-    pub fn first_event(&self, job: &Job, model: &str, took: Duration, unread: Duration) {
+    pub fn record_first_event(
+        &self,
+        request: &AdmittedRequest,
+        model: &str,
+        took: Duration,
+        unread: Duration,
+    ) {
         log::info!(
-            request = job.request_id.as_str(),
+            request = request.request_id.as_str(),
             model,
             took_ms = millis(took),
-            tokens = job.prompt.tokens,
-            shared_tokens = job.prompt.shared_tokens,
+            tokens = request.prompt.tokens,
+            shared_tokens = request.prompt.shared_tokens,
             unread_ms = millis(unread);
             "first event"
         );
     }
 
     /// Records a stream that came to its end.
-    pub fn stream_ended(&self, job: &Job, summary: &StreamSummary) {
+    pub fn record_stream_end(&self, request: &AdmittedRequest, summary: &StreamSummary) {
         log::info!(
-            request = job.request_id.as_str(),
+            request = request.request_id.as_str(),
             events = summary.events,
             resumed = summary.resumed,
             longest_pause_ms = millis(summary.longest_pause),
@@ -254,22 +277,22 @@
     }
 
     /// Records a stream that will have no end.
-    pub fn stream_cut(&self, job: &Job, events: usize, reason: &str) {
+    pub fn record_stream_cut(&self, request: &AdmittedRequest, events: usize, reason: &str) {
         log::warn!(
-            request = job.request_id.as_str(),
+            request = request.request_id.as_str(),
             events,
-            tries = job.tries.sent();
+            tries = request.tries.sent();
             "stream cut: {reason}"
         );
     }
 
     /// Records a final refusal.
-    pub fn refused(
+    pub fn record_refusal(
         &self,
         request: &str,
         fingerprint: Option<Fingerprint>,
-        why: Why,
-        ran: Ran,
+        why: RefusalReason,
+        ran: Execution,
         age: Option<Duration>,
         took: Duration,
     ) {
@@ -279,7 +302,7 @@
             request,
             fingerprint = fingerprint.as_deref().unwrap_or(""),
             reason = why.name(),
-            may_have_run = ran == Ran::Perhaps,
+            may_have_run = ran == Execution::Possible,
             knowledge_age_ms = age.map_or(-1, |age| i64::try_from(millis(age)).unwrap_or(-1)),
             took_ms = millis(took);
             "refused"
@@ -287,7 +310,7 @@
     }
 
     /// Records a change of what the box knows.
-    pub fn learned(&self, change: &Change, source: &str, revision: u64) {
+    pub fn record_change(&self, change: &Change, source: &str, revision: u64) {
         if let Change::Routes(version) = change {
             self.config_version.record(*version, &[]);
         }
@@ -312,7 +335,7 @@
     /// Records that a version of the configuration came into force: by which way, how large
     /// it is, how long this box had known that something newer existed, and how old its
     /// proof of fresh knowledge was.
-    pub fn in_force(
+    pub fn record_config_in_force(
         &self,
         version: u64,
         source: &str,
@@ -331,13 +354,13 @@
     }
 
     /// Counts bytes of items that came from other boxes.
-    pub fn received(&self, way: &'static str, bytes: usize) {
+    pub fn count_item_bytes(&self, way: &'static str, bytes: usize) {
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
         self.received_bytes.add(bytes, &[KeyValue::new("way", way)]);
     }
 
     /// Records how a fetch ended.
-    pub fn fetched(
+    pub fn record_fetch(
         &self,
         from: SocketAddr,
         outcome: &Result<(), FetchError>,
@@ -358,25 +381,25 @@
     }
 
     /// Counts a call to the store.
-    pub fn store_called(&self, kind: &'static str) {
+    pub fn count_store_call(&self, kind: &'static str) {
         self.store_calls.add(1, &[KeyValue::new("kind", kind)]);
     }
 
     /// Counts the bytes of a message to other boxes, those to each box.
-    pub fn told_boxes(&self, purpose: &'static str, bytes: usize) {
+    pub fn count_peer_bytes(&self, purpose: &'static str, bytes: usize) {
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
         self.peer_bytes
             .add(bytes, &[KeyValue::new("purpose", purpose)]);
     }
 
     /// Records how many upstreams have entries that cannot be read.
-    pub fn faulty_upstreams(&self, count: usize) {
+    pub fn record_faulty_upstreams(&self, count: usize) {
         let count = u64::try_from(count).unwrap_or(u64::MAX);
         self.faulty_upstreams.record(count, &[]);
     }
 
     /// Records the age of what is known.
-    pub fn aged(&self, age: Option<Duration>, lag: Option<Duration>) {
+    pub fn record_knowledge_age(&self, age: Option<Duration>, lag: Option<Duration>) {
         self.age.record(age.map_or(u64::MAX, millis), &[]);
         self.lag.record(lag.map_or(0, millis), &[]);
     }
--- a/src/gateway/versions/counts.rs
+++ b/src/gateway/versions/counts.rs
@@ -7,7 +7,7 @@
 use super::watch::{Finding, Question, Verdict};
 use crate::clock::Now;
 use crate::gateway::Gateway;
-use crate::gateway::admit::job::Job;
+use crate::gateway::admit::request::AdmittedRequest;
 use crate::gateway::attempt::exchange::{Answer, Tried};
 use crate::gateway::attempt::upstream::Upstream;
 use crate::gateway::control::leading::{is_in_line, target_name};
@@ -26,7 +26,7 @@
     ///
     /// Of a plain request only the first try is timed: one that fails at an upstream often
     /// fails at the next as well, whatever their versions.
-    pub fn time_try(&self, job: &Job, choice: &Choice, now: Now) -> Option<Timed> {
+    pub fn time_try(&self, job: &AdmittedRequest, choice: &Choice, now: Now) -> Option<Timed> {
         let (measure, unit) = match job.route.kind.stream_gap() {
             Some(_) => {
                 let expected = reading::FIXED + choice.ahead + choice.reading;
@@ -60,7 +60,7 @@
     /// Begins to time the events of an answer, of which the gaps between so many are judged.
     pub fn time_events(
         &self,
-        job: &Job,
+        job: &AdmittedRequest,
         upstream: &Upstream,
         gaps: usize,
         now: Now,
@@ -74,25 +74,25 @@
         Some(versions.tally().begin(trial, kind, gaps as f64, now))
     }
 
-    fn trial(&self, job: &Job, upstream: &Upstream, now: Now) -> Option<Trial> {
+    fn trial(&self, job: &AdmittedRequest, upstream: &Upstream, now: Now) -> Option<Trial> {
         let knowledge = self.knowledge.borrow();
         let rollout = knowledge.rollout(&job.service)?;
         upstream.with_listed(|listed| trial(rollout, &listed.version, now))
     }
 
     /// Records when the first event of an answer came.
-    pub fn first_event(&self, job: &Job, answer: &Answer, model: &str, now: Now) {
+    pub fn first_event(&self, job: &AdmittedRequest, answer: &Answer, model: &str, now: Now) {
         let upstream = answer.upstream();
         let took = now.monotonic.saturating_sub(answer.sent);
         self.telemetry
-            .first_event(job, model, took, upstream.unread(now));
+            .record_first_event(job, model, took, upstream.unread(now));
         if answer.tells_rate {
-            self.learn_rate(&job.service, model, job.prompt.reading_tokens(), took);
+            self.record_reading_rate(&job.service, model, job.prompt.weighted_tokens(), took);
         }
         upstream.with_listed(|listed| {
             self.sessions
                 .borrow_mut()
-                .served(&job.session, &listed.version, now);
+                .served(&job.session_id, &listed.version, now);
         });
     }
 
@@ -160,6 +160,6 @@
     /// Tells whether this box has been up for too short a time to have been told that a
     /// version is bad.
     pub fn is_newcomer(&self, now: Now) -> bool {
-        now.monotonic.saturating_sub(self.started) < NEWCOMER
+        now.monotonic.saturating_sub(self.started_at) < NEWCOMER
     }
 }
--- a/src/operate/box_logs.rs
+++ b/src/operate/box_logs.rs
@@ -5,7 +5,7 @@
 
 use super::Output;
 use crate::error::{Error, Result};
-use crate::gateway::answer::refusal::Why;
+use crate::gateway::answer::refusal::RefusalReason;
 use serde::Deserialize;
 use serde_json::{Map, Value, json};
 use std::io::Read as _;
@@ -154,7 +154,7 @@
                 _ => "it ran nowhere",
             };
             let reason = text("reason");
-            let meaning = Why::named(&reason).map_or("", Why::meaning);
+            let meaning = RefusalReason::from_name(&reason).map_or("", RefusalReason::explanation);
             format!(
                 "refused, {reason}: {meaning}; {ran}; after {} ms",
                 text("took_ms")
--- a/tests/gateway/freshness.rs
+++ b/tests/gateway/freshness.rs
@@ -3,11 +3,11 @@
 use super::{at, cases, listed};
 use gatepier::gateway::admit::routes::{Caller, Organisation, RouteTable};
 use gatepier::gateway::admit::serve::check;
-use gatepier::gateway::answer::refusal::Why;
+use gatepier::gateway::answer::refusal::RefusalReason;
 use gatepier::gateway::attempt::retries::RetryBound;
 use gatepier::gateway::control::knowledge::{Change, Knowledge, Proof};
 use gatepier::gateway::control::store::Update;
-use gatepier::gateway::settings::{Bounds, UnprovedKeys};
+use gatepier::gateway::settings::{Bounds, UnverifiedKeyPolicy};
 use gatepier::gateway::versions::exposure::ExposureBound;
 use googletest::prelude::*;
 use std::sync::Arc;
@@ -38,11 +38,11 @@
     own_check_follows_from_the_bound_for_changes => {
         // Fails where every fleet calls the store after 1.5 s: where changes have four
         // seconds, 295 boxes called while their hubs were reading everything anew.
-        let of = |config: u64| Bounds { config: Duration::from_millis(config), ..bounds() };
-        expect_that!(of(2000).own_check_age(), eq(Duration::from_millis(1500)));
-        expect_that!(of(1000).own_check_age(), eq(Duration::from_millis(750)));
+        let of = |config: u64| Bounds { config_delay: Duration::from_millis(config), ..bounds() };
+        expect_that!(of(2000).store_check_age(), eq(Duration::from_millis(1500)));
+        expect_that!(of(1000).store_check_age(), eq(Duration::from_millis(750)));
         for config in [3000, 4000, 60_000] {
-            expect_that!(of(config).own_check_age(), eq(Duration::from_millis(1850)));
+            expect_that!(of(config).store_check_age(), eq(Duration::from_millis(1850)));
         }
     }
 
@@ -50,9 +50,9 @@
         let organisation = organisation();
         let known = Caller::Known(&organisation);
         let known = Some(known);
-        expect_that!(check(known, Proof::None, UnprovedKeys::ServeKnown), ok(anything()));
-        expect_that!(check(known, Proof::None, UnprovedKeys::Refuse), err(eq(Why::Stale)));
-        for unproved in [UnprovedKeys::ServeKnown, UnprovedKeys::Refuse] {
+        expect_that!(check(known, Proof::None, UnverifiedKeyPolicy::ServeKnown), ok(anything()));
+        expect_that!(check(known, Proof::None, UnverifiedKeyPolicy::Refuse), err(eq(RefusalReason::Stale)));
+        for unproved in [UnverifiedKeyPolicy::ServeKnown, UnverifiedKeyPolicy::Refuse] {
             for proof in [Proof::Newest, Proof::KeysHold] {
                 expect_that!(check(known, proof, unproved), ok(anything()));
             }
@@ -60,12 +60,12 @@
     }
 
     unknown_key_is_told_to_come_back_until_it_is_proved_unknown => {
-        for unproved in [UnprovedKeys::ServeKnown, UnprovedKeys::Refuse] {
+        for unproved in [UnverifiedKeyPolicy::ServeKnown, UnverifiedKeyPolicy::Refuse] {
             let proved = check(Some(Caller::Unknown), Proof::Newest, unproved);
-            expect_that!(proved, err(eq(Why::UnknownKey)));
+            expect_that!(proved, err(eq(RefusalReason::UnknownKey)));
             for proof in [Proof::KeysHold, Proof::None, Proof::Outdated] {
                 let unsure = check(Some(Caller::Unknown), proof, unproved);
-                expect_that!(unsure, err(eq(Why::Stale)));
+                expect_that!(unsure, err(eq(RefusalReason::Stale)));
             }
         }
     }
@@ -73,10 +73,10 @@
     missing_route_is_told_to_come_back_until_it_is_proved_missing => {
         // Fails where a box says 404 for whatever it does not know: routes that had been
         // confirmed three seconds before were refused for good by boxes that lacked them.
-        for unproved in [UnprovedKeys::ServeKnown, UnprovedKeys::Refuse] {
-            expect_that!(check(None, Proof::Newest, unproved), err(eq(Why::NoRoute)));
+        for unproved in [UnverifiedKeyPolicy::ServeKnown, UnverifiedKeyPolicy::Refuse] {
+            expect_that!(check(None, Proof::Newest, unproved), err(eq(RefusalReason::NoRoute)));
             for proof in [Proof::KeysHold, Proof::None, Proof::Outdated] {
-                expect_that!(check(None, proof, unproved), err(eq(Why::Stale)));
+                expect_that!(check(None, proof, unproved), err(eq(RefusalReason::Stale)));
             }
         }
     }
@@ -84,12 +84,12 @@
     box_that_lacks_something_newer_for_too_long_serves_nothing_by_what_it_has => {
         let organisation = organisation();
         for caller in [Caller::Known(&organisation), Caller::Anonymous, Caller::Unknown] {
-            for unproved in [UnprovedKeys::ServeKnown, UnprovedKeys::Refuse] {
+            for unproved in [UnverifiedKeyPolicy::ServeKnown, UnverifiedKeyPolicy::Refuse] {
                 let outdated = check(Some(caller), Proof::Outdated, unproved);
-                expect_that!(outdated, err(eq(Why::Stale)));
+                expect_that!(outdated, err(eq(RefusalReason::Stale)));
             }
         }
-        expect_that!(check(Some(Caller::Anonymous), Proof::None, UnprovedKeys::Refuse), ok(anything()));
+        expect_that!(check(Some(Caller::Anonymous), Proof::None, UnverifiedKeyPolicy::Refuse), ok(anything()));
     }
 
     proof_is_the_newest_only_while_nothing_newer_is_known => {
@@ -206,16 +206,16 @@
 /// Returns bounds of operators.
 fn bounds() -> Bounds {
     Bounds {
-        grace: Duration::from_secs(8),
-        revoke: Duration::from_secs(5),
-        config: Duration::from_secs(3),
+        grace_period: Duration::from_secs(8),
+        revocation_delay: Duration::from_secs(5),
+        config_delay: Duration::from_secs(3),
         retries: RetryBound {
             ratio: 0.9,
             slack: 20.0,
             window: Duration::from_secs(10),
         },
-        session: Duration::from_secs(5),
-        unproved_keys: UnprovedKeys::Refuse,
+        session_idle_limit: Duration::from_secs(5),
+        unverified_key_policy: UnverifiedKeyPolicy::Refuse,
         exposure: ExposureBound {
             share: 0.15,
             slack: 30.0,
--- a/tests/gateway/models.rs
+++ b/tests/gateway/models.rs
@@ -1,7 +1,7 @@
 //! Whether a smaller model's answer will do.
 
 use super::cases;
-use gatepier::gateway::admit::routes::EVEN_RANK;
+use gatepier::gateway::admit::routes::NEUTRAL_RELATIVE_RANK;
 use gatepier::gateway::place::models::{BegunAnswer, Expected, Verdict, judge};
 use googletest::prelude::*;
 use std::time::Duration;
@@ -19,7 +19,7 @@
     BegunAnswer {
         place,
         confidence,
-        rank_part: EVEN_RANK,
+        rank_part: NEUTRAL_RELATIVE_RANK,
     }
 }
 
--- a/tests/gateway/routes.rs
+++ b/tests/gateway/routes.rs
@@ -15,9 +15,9 @@
         prefix: prefix.to_owned(),
         kind: RouteKind::Idempotent,
         timeout: Duration::from_secs(1),
-        objective: Duration::from_millis(100),
+        latency_objective: Duration::from_millis(100),
         priority: 0,
-        attempts: 2,
+        max_attempts: 2,
         public: false,
         models: Vec::new(),
         services: vec![("reader".to_owned(), 90), ("canary".to_owned(), 10)],
@@ -80,9 +80,9 @@
         let engine = Engine {
             models: vec![("small".to_owned(), 0.02), ("large".to_owned(), 0.4)],
         };
-        expect_that!(engine.price_part("large"), eq(1.0));
-        expect_that!(engine.price_part("small"), near(0.05, 1e-9));
-        expect_that!(engine.price_part("unknown"), eq(1.0));
+        expect_that!(engine.relative_price("large"), eq(1.0));
+        expect_that!(engine.relative_price("small"), near(0.05, 1e-9));
+        expect_that!(engine.relative_price("unknown"), eq(1.0));
     }
 
     ranks_are_told_among_the_routes_that_choose_models => {
@@ -93,10 +93,10 @@
         };
         let ranked = table(vec![of_rank(2, &["m"]), of_rank(4, &["m"]), of_rank(9, &[])]);
         for (priority, part) in [(0, 0.0), (2, 0.0), (3, 0.5), (4, 1.0), (9, 1.0)] {
-            expect_that!(ranked.rank_part(priority), eq(part));
+            expect_that!(ranked.relative_rank(priority), eq(part));
         }
         for routes in [vec![], vec![of_rank(7, &["m"]), of_rank(0, &[])]] {
-            expect_that!(table(routes).rank_part(7), eq(0.5));
+            expect_that!(table(routes).relative_rank(7), eq(0.5));
         }
     }
 }
--- a/tests/gateway/starting.rs
+++ b/tests/gateway/starting.rs
@@ -6,7 +6,7 @@
 
 use super::{at, cases};
 use gatepier::clock::Now;
-use gatepier::gateway::FirstWait;
+use gatepier::gateway::StartupWait;
 use gatepier::gateway::control::first_reads::{FirstRead, Own, plan};
 use gatepier::gateway::control::store::BoxEntry;
 use googletest::prelude::*;
@@ -158,11 +158,11 @@
 }
 
 fn wait(waits_ms: u64, now: Now) -> Duration {
-    let waiting = FirstWait {
+    let waiting = StartupWait {
         received: Duration::from_millis(100),
-        caller_waits: Some(Duration::from_millis(waits_ms)),
+        caller_timeout: Some(Duration::from_millis(waits_ms)),
     };
-    waiting.left(Duration::ZERO, now)
+    waiting.remaining(Duration::ZERO, now)
 }
 
 cases! {
@@ -288,7 +288,7 @@
         expect_that!(wait(20_000, at(200)), eq(Duration::from_millis(1300)));
         expect_that!(wait(20_000, at(1600)), eq(Duration::ZERO));
         expect_that!(wait(0, at(200)), eq(Duration::ZERO));
-        let silent = FirstWait { received: Duration::ZERO, caller_waits: None };
-        expect_that!(silent.left(Duration::ZERO, at(500)), eq(Duration::from_secs(1)));
+        let silent = StartupWait { received: Duration::ZERO, caller_timeout: None };
+        expect_that!(silent.remaining(Duration::ZERO, at(500)), eq(Duration::from_secs(1)));
     }
 }
--- a/tests/spreading.rs
+++ b/tests/spreading.rs
@@ -29,7 +29,7 @@
     Watched,
 };
 use gatepier::gateway::peers::messages;
-use gatepier::gateway::settings::{Bounds, GatewaySettings, UnprovedKeys};
+use gatepier::gateway::settings::{Bounds, GatewaySettings, UnverifiedKeyPolicy};
 use gatepier::gateway::versions::exposure::ExposureBound;
 use gatepier::lab::fleet::free_address;
 use gatepier::lab::proxy::{LinkMode, Proxy};
@@ -149,23 +149,23 @@
     GatewaySettings {
         name: name.to_owned(),
         hall: "ikeja".to_owned(),
-        callers: peers,
-        readiness: peers,
-        peers,
-        metrics: peers,
+        caller_addr: peers,
+        readiness_addr: peers,
+        peer_addr: peers,
+        metrics_addr: peers,
         link_mbps: 10,
         is_first_start: false,
         bounds: Bounds {
-            grace: Duration::from_secs(8),
-            revoke: Duration::from_secs(5),
-            config: OPERATORS_BOUND,
+            grace_period: Duration::from_secs(8),
+            revocation_delay: Duration::from_secs(5),
+            config_delay: OPERATORS_BOUND,
             retries: RetryBound {
                 ratio: 0.9,
                 slack: 20.0,
                 window: Duration::from_secs(10),
             },
-            session: Duration::from_secs(5),
-            unproved_keys: UnprovedKeys::Refuse,
+            session_idle_limit: Duration::from_secs(5),
+            unverified_key_policy: UnverifiedKeyPolicy::Refuse,
             exposure: ExposureBound {
                 share: 0.15,
                 slack: 30.0,
