--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -408,7 +408,7 @@
 ) -> Result<()> {
     let metrics = Metrics::new()?;
     let gw = Gateway::new(settings, headers, &metrics, Now::read());
-    let stopping = listen::Stopping::catch()?;
+    let stop_signal = listen::StopSignal::install()?;
     let server = listen::serve_callers(&gw)?;
     listen::serve_readiness(&gw, &metrics)?;
     actix_rt::spawn(follow::follow(gw.clone(), store.clone()));
@@ -429,8 +429,8 @@
         callers = settings.caller_addr.to_string().as_str();
         "started"
     );
-    listen::reload_on_request(gw.clone(), reload)?;
-    stopping.wait().await;
+    listen::reload_on_sighup(gw.clone(), reload)?;
+    stop_signal.wait().await;
     listen::drain(&gw, server, &*store).await;
     Ok(())
 }
--- a/src/gateway/admit.rs
+++ b/src/gateway/admit.rs
@@ -1,5 +1,5 @@
-//! A caller's request, from its connection until it is known what it asks for and whether it
-//! may be served.
+//! Admission: accepts callers' connections, finds the route and the organisation of a request, and
+//! decides whether it may be served.
 
 pub mod listen;
 pub mod prompt;
--- a/src/gateway/admit/listen.rs
+++ b/src/gateway/admit/listen.rs
@@ -1,4 +1,5 @@
-//! Accepts callers, answers the balancer, and ends the process in order.
+//! Accepts callers' connections, answers the load balancer's readiness checks, and drains the
+//! process when it has to stop.
 
 use super::routes::CallerLimits;
 use super::serve::serve;
@@ -23,42 +24,42 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::time::sleep;
 
-/// How long a stopping box goes on at least: the balancer asks every second and takes a
-/// box out after two misses.
-const BALANCER_NOTICE: Duration = Duration::from_millis(3200);
-/// How often a stopping box looks whether all requests have ended.
-const DRAIN_STEP: Duration = Duration::from_millis(50);
-/// How long written bytes may stay unacknowledged by a caller.
-const CALLER_USER_TIMEOUT: Duration = Duration::from_secs(10);
+/// The shortest drain: the load balancer checks readiness every second and takes a box out after
+/// two failed checks.
+const MIN_DRAIN_TIME: Duration = Duration::from_millis(3200);
+/// How often a draining box checks whether all requests have ended.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// How long sent bytes may stay unacknowledged before a caller's connection is closed.
+const CALLER_TCP_USER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Catches the signal to stop.
+/// The signal that asks the process to stop (SIGTERM).
 #[derive(Debug)]
-pub struct Stopping(Signal);
+pub struct StopSignal(Signal);
 
-impl Stopping {
-    /// Starts to catch the signal.
-    pub fn catch() -> Result<Self> {
-        catch(SignalKind::terminate()).map(Self)
+impl StopSignal {
+    /// Installs the signal handler.
+    pub fn install() -> Result<Self> {
+        subscribe(SignalKind::terminate()).map(Self)
     }
 
-    /// Waits for the signal.
+    /// Waits until the signal arrives.
     pub async fn wait(mut self) {
         self.0.recv().await;
     }
 }
 
-fn catch(kind: SignalKind) -> Result<Signal> {
-    signal(kind).map_err(|err| Error::Usage(format!("signals cannot be received: {err}")))
+fn subscribe(kind: SignalKind) -> Result<Signal> {
+    signal(kind).map_err(|err| Error::Usage(format!("cannot install a signal handler: {err}")))
 }
 
-/// Reads the settings again each time the operators ask for it.
-pub fn reload_on_request(
+/// Reloads the settings on each SIGHUP; settings that cannot be read leave the old ones in force.
+pub fn reload_on_sighup(
     gw: Rc<Gateway>,
     reload: impl Fn() -> Result<GatewaySettings> + 'static,
 ) -> Result<()> {
-    let mut asked = catch(SignalKind::hangup())?;
+    let mut reload_signal = subscribe(SignalKind::hangup())?;
     actix_rt::spawn(async move {
-        while asked.recv().await.is_some() {
+        while reload_signal.recv().await.is_some() {
             match reload() {
                 Ok(settings) => {
                     gw.reload(settings);
@@ -76,19 +77,19 @@
         .map_err(|err| Error::Unreachable(format!("cannot listen on {address}: {err}")))
 }
 
-/// Takes callers' connections in the background.
+/// Accepts callers' connections in the background.
 pub fn serve_callers(gw: &Rc<Gateway>) -> Result<HttpServer<Accepting>> {
     let listener = listen_shared(gw.settings().caller_addr)?;
     let connections = gw.caller_connections.clone();
     let gw = gw.clone();
-    HttpServer::start(listener, connections, move |taken| {
-        actix_rt::spawn(serve_connection(gw.clone(), taken));
+    HttpServer::start(listener, connections, move |accepted| {
+        actix_rt::spawn(serve_connection(gw.clone(), accepted));
     })
 }
 
-async fn serve_connection(gw: Rc<Gateway>, taken: Taken) {
-    let Taken { stream, peer, open } = taken;
-    prepare(&stream);
+async fn serve_connection(gw: Rc<Gateway>, accepted: Taken) {
+    let Taken { stream, peer, open } = accepted;
+    set_socket_options(&stream);
     let limits = gw
         .knowledge
         .borrow()
@@ -97,7 +98,7 @@
     let stream = StrictStream::new(stream, ErrorKind::ConnectionAborted);
     let handler = move |req: Request| {
         let gw = gw.clone();
-        // Boxed, so that a connection does not keep the room of the largest future.
+        // Boxed, so that an idle connection does not reserve memory for the largest future.
         Box::pin(async move { Ok::<_, Infallible>(serve(gw, req).await) })
     };
     let service = HttpService::build()
@@ -107,42 +108,41 @@
     match service.new_service(()).await {
         Ok(service) => {
             if let Err(err) = service.call((stream, Some(peer))).await {
-                log::debug!("connection of {peer} ended: {err}");
+                log::debug!("connection from {peer} ended: {err}");
             }
         }
-        Err(()) => log::error!("a connection of {peer} cannot be served"),
+        Err(()) => log::error!("cannot serve the connection from {peer}"),
     }
     drop(open);
 }
 
-fn prepare(stream: &TcpStream) {
+fn set_socket_options(stream: &TcpStream) {
     let socket = socket2::SockRef::from(stream);
-    let set = stream
+    let result = stream
         .set_nodelay(true)
-        .and_then(|()| socket.set_tcp_user_timeout(Some(CALLER_USER_TIMEOUT)));
-    if let Err(err) = set {
-        log::debug!("a caller's connection keeps its defaults: {err}");
+        .and_then(|()| socket.set_tcp_user_timeout(Some(CALLER_TCP_USER_TIMEOUT)));
+    if let Err(err) = result {
+        log::debug!("cannot set the socket options of a caller's connection: {err}");
     }
 }
 
-/// Answers the balancer's question whether the box takes new connections, and serves
-/// metrics.
+/// Answers the load balancer's readiness checks, and serves metrics.
 pub fn serve_readiness(gw: &Rc<Gateway>, metrics: &Metrics) -> Result<()> {
     let listener = listen(gw.settings().readiness_addr)?;
-    let answering = gw.clone();
+    let readiness_gw = gw.clone();
     actix_rt::spawn(async move {
         accept(&listener, |stream, peer| {
-            actix_rt::spawn(answer_balancer(answering.clone(), stream, peer));
+            actix_rt::spawn(answer_readiness_checks(readiness_gw.clone(), stream, peer));
         })
         .await;
     });
     if let Err(err) = metrics.serve(gw.settings().metrics_addr) {
-        log::error!("metrics are not served: {err}");
+        log::error!("cannot serve metrics: {err}");
     }
     Ok(())
 }
 
-async fn answer_balancer(gw: Rc<Gateway>, stream: TcpStream, peer: SocketAddr) {
+async fn answer_readiness_checks(gw: Rc<Gateway>, stream: TcpStream, peer: SocketAddr) {
     let handler = move |_req: Request| {
         let status = match gw.is_ready() {
             true => StatusCode::OK,
@@ -154,34 +154,34 @@
     if let Ok(service) = service.new_service(()).await
         && let Err(err) = service.call((stream, Some(peer))).await
     {
-        log::debug!("the balancer's connection from {peer} ended: {err}");
+        log::debug!("the readiness connection from {peer} ended: {err}");
     }
 }
 
-/// Finishes what the box has, then returns.
+/// Drains the box: finishes the requests in flight, then returns.
 ///
-/// The balancer is told at once. Requests that come meanwhile are served, and their
-/// connections closed after the answer. Streams that outlast the grace are cut at its
-/// end, where callers can go on elsewhere.
+/// Readiness checks fail from the start. Requests that arrive meanwhile are served, and their
+/// connections closed after the response. Streams that outlast the grace period are cut at its end;
+/// their callers can resume them at another box.
 pub async fn drain(gw: &Gateway, server: HttpServer<Accepting>, store: &dyn ControlStore) {
-    let began = Now::read();
-    gw.begin_stopping(began);
-    // Connections are taken to the end: there is no successor on the same address.
+    let drain_start = Now::read();
+    gw.begin_stopping(drain_start);
+    // Connections are accepted to the end: no successor process listens on the same address.
     let _announced = server.announce();
-    log::info!(in_flight = gw.in_flight(); "stopping: requests under way are finished");
+    log::info!(in_flight = gw.in_flight(); "stopping: finishing the requests in flight");
     if let Some(lease) = gw.lease.get()
         && let Err(err) = store.release(lease).await
     {
-        log::warn!("the lease runs out by itself: {err}");
+        log::warn!("cannot release the registration lease, it will expire: {err}");
     }
-    let time_to_end = gw.settings().bounds.max_stop_duration();
+    let max_duration = gw.settings().bounds.max_stop_duration();
     loop {
-        let spent = Now::read().monotonic.saturating_sub(began.monotonic);
-        let is_idle = gw.in_flight() == 0 && spent >= BALANCER_NOTICE;
-        if is_idle || spent >= time_to_end {
+        let elapsed = Now::read().monotonic.saturating_sub(drain_start.monotonic);
+        let is_idle = gw.in_flight() == 0 && elapsed >= MIN_DRAIN_TIME;
+        if is_idle || elapsed >= max_duration {
             break;
         }
-        sleep(DRAIN_STEP).await;
+        sleep(DRAIN_POLL_INTERVAL).await;
     }
     log::info!(cut = gw.in_flight(); "stopped");
 }
--- a/src/gateway/admit/request.rs
+++ b/src/gateway/admit/request.rs
@@ -1,4 +1,4 @@
-//! One request on its way through the box.
+//! An admitted request, and its attempts at upstreams.
 
 use super::prompt::Prompt;
 use super::routes::{Organisation, Route};
@@ -31,192 +31,194 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What callers are told of the time: an upstream should end a little before the router
-/// gives up, so that its own last word still gets through.
-const ANSWER_MARGIN: Duration = Duration::from_millis(20);
+/// How much earlier than the router an upstream has to give up, so that its own final response
+/// still gets through.
+const DEADLINE_MARGIN: Duration = Duration::from_millis(20);
 
-/// The part of the objective for which a request that ran nowhere is offered again and
-/// again before it is refused; a later refusal helps the caller less than waiting on.
-const OFFER_PART: u32 = 4;
+/// A request that ran nowhere is retried for the latency objective divided by this, then refused; a
+/// later refusal helps the caller less than waiting on.
+const RETRY_OBJECTIVE_DIVISOR: u32 = 4;
 
-/// A request that was admitted, and what has come of it so far.
+/// A request that was admitted, and the state of its attempts.
 #[derive(Debug)]
 pub struct AdmittedRequest {
-    /// The caller's id of this attempt.
+    /// The id that the caller gave this send of the request.
     pub request_id: String,
-    /// What tells that another send is the same request.
+    /// Identifies the request across sends: a repeated send has the same fingerprint.
     pub fingerprint: Fingerprint,
-    /// The route.
+    /// The route that it matched.
     pub route: Arc<Route>,
-    /// The version of the configuration that led to the route.
+    /// The version of the configuration that the route belongs to.
     pub config_version: u64,
-    /// The service that the route led to.
+    /// The service that the route selected.
     pub service: String,
-    /// Who sent it, where keys are asked for.
+    /// The organisation that sent it, on routes that require a key.
     pub organisation: Option<Organisation>,
     /// The method.
     pub method: http1_types::Method,
     /// The path with its query.
     pub target: String,
-    /// The caller's headers that pass on.
+    /// The caller's headers that are forwarded.
     pub headers: http1_types::HeaderMap,
     /// The whole body.
     pub body: Bytes,
-    /// When the head had come.
+    /// When the request head had been received.
     pub received: Duration,
-    /// When the caller or the operators want an end.
+    /// The deadline: the caller's, or the route's if that is earlier.
     pub deadline: Duration,
     /// The prompt, on routes to model engines.
     pub prompt: Prompt,
-    /// The id of the session, or of the request where it belongs to none.
+    /// The id of the session, or the request's own id if it belongs to none.
     pub session_id: String,
-    /// Whether the router chooses the model.
-    pub chooses_model: bool,
-    /// What the tries so far prove.
+    /// Whether the caller leaves the choice of the model to the router.
+    pub router_chooses_model: bool,
+    /// The attempts so far, and what they prove.
     pub tries: Tries,
-    /// Whether it is on trial for the crashes that it was at.
-    pub trial: Cell<Trial>,
-    /// A plain answer under way that is timed.
-    pub timed: RefCell<Option<Timed>>,
+    /// Its trial, if it may have crashed upstreams.
+    pub trial: Cell<QuarantineTrial>,
+    /// The latency measurement of a buffered response, while one runs.
+    pub timing: RefCell<Option<Timed>>,
 }
 
-/// The trial of a request that was at several crashes of upstreams.
+/// The trial of a request that ran at several upstreams when they crashed: it may run once more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Trial {
+pub enum QuarantineTrial {
     /// It is not on trial.
     #[default]
     None,
-    /// It may run once.
+    /// The trial run is allowed and has not ended.
     Open,
-    /// It has run and came to no answer; whether its upstream crashed is being found out.
-    Over,
+    /// The trial run ended without a response; whether its upstream crashed is being checked.
+    Finished,
 }
 
-/// What one try asks for beyond the request itself.
+/// The parameters of one attempt, beyond the request itself.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptPlan<'a> {
-    /// The model to name, where the router chooses.
+    /// The model to request, where the router chooses it.
     pub model: Option<&'a str>,
-    /// The last event that the caller has, where a stream goes on.
+    /// The id of the last event that the caller has, where a stream is resumed.
     pub resume_after: Option<&'a str>,
-    /// How long to wait for the head.
-    pub head: Patience,
-    /// What lets this try be a second one.
-    pub repeat: Repeat,
+    /// How long to wait for the response head.
+    pub head_wait: Patience,
+    /// The kind of retry that this is, if the request was sent before.
+    pub retry_kind: Repeat,
 }
 
-/// Why no try was made.
+/// Why no attempt was made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoAttempt {
-    /// No upstream is left to ask.
+    /// No upstream is left to try.
     NoUpstream,
-    /// No upstream takes a request of this box now, and the first one will after a while.
+    /// No upstream accepts requests of this box now; the pause lasts until the first one does.
     Paused(Pause),
     /// Operators have evacuated the halls of all upstreams.
     Evacuated,
-    /// The request may not be sent once more.
+    /// The retry budget does not allow another send.
     OutOfBudget,
-    /// The time is over.
+    /// The deadline has passed, or is too close.
     OutOfTime,
-    /// It crashes the upstreams that run it.
+    /// The request crashes the upstreams that run it.
     Quarantined,
-    /// It may have crashed upstreams, and another send of it is on trial for at most so long.
+    /// The request may have crashed upstreams, and another send of it is on trial for at most this
+    /// long.
     OnTrial(Duration),
 }
 
 impl AdmittedRequest {
-    /// Returns the time that is left.
-    pub fn left(&self, now: Now) -> Duration {
+    /// Returns the time until the deadline.
+    pub fn time_left(&self, now: Now) -> Duration {
         self.deadline.saturating_sub(now.monotonic)
     }
 
-    /// Tells whether one more run is allowed by the route and by what already ran.
+    /// Returns whether the route allows one more run, given what has already run.
     pub fn may_run_again(&self) -> bool {
         let repeatable = self.route.kind.is_repeatable() || self.tries.ran() == Execution::Never;
         repeatable && self.tries.runs() < self.route.max_attempts.max(1)
     }
 
-    /// Tells whether another upstream could be asked now: the route, what already ran and
-    /// the budget allow it. An answer is not given up otherwise.
-    pub fn can_repeat(&self, gw: &Gateway, now: Now) -> bool {
+    /// Returns whether another upstream could be tried now: the route, what has already run and the
+    /// retry budget allow it. Otherwise a slow response is not abandoned.
+    pub fn can_retry(&self, gw: &Gateway, now: Now) -> bool {
         let has_room = gw.with_retry_window(&self.service, |window| {
             window.has_room(Repeat::Failure, now)
         });
         has_room && self.may_run_again()
     }
 
-    /// Tells whether the next run is the last one that the route allows, so that cutting
-    /// it off would end the request.
-    pub fn has_last_run_left(&self) -> bool {
+    /// Returns whether the next run is the last one that the route allows, so that abandoning it
+    /// would end the request.
+    pub fn is_last_run(&self) -> bool {
         self.tries.runs() + 1 >= self.route.max_attempts.max(1)
     }
 
-    /// Tells whether a request that no upstream took should be offered once more after a
-    /// pause, and not refused.
-    pub fn should_wait(&self, gw: &Gateway, pause: Duration, now: Now) -> bool {
+    /// Returns whether a request that no upstream accepted should be retried after a pause rather
+    /// than refused.
+    pub fn should_wait_for_upstream(&self, gw: &Gateway, pause: Duration, now: Now) -> bool {
         self.can_wait(pause, now)
             && !gw
                 .candidates(&self.service, &self.session_id, now)
                 .is_empty()
     }
 
-    /// Tells whether a pause leaves the request among those that are still offered.
+    /// Returns whether the request would still be within its retry window after a pause.
     pub fn can_wait(&self, pause: Duration, now: Now) -> bool {
         let waited = now.monotonic.saturating_sub(self.received);
-        self.may_run_again() && waited + pause < self.route.latency_objective / OFFER_PART
+        self.may_run_again()
+            && waited + pause < self.route.latency_objective / RETRY_OBJECTIVE_DIVISOR
     }
 
-    /// Chooses an upstream and makes one try there.
+    /// Chooses an upstream and makes one attempt there.
     ///
-    /// A try that reached an upstream before makes this one a repeat, which the budget
-    /// has to allow.
+    /// If an earlier attempt reached an upstream, this one is a retry, which the budget has to
+    /// allow.
     pub async fn run_attempt(
         &self,
         gw: &Gateway,
         plan: AttemptPlan<'_>,
     ) -> Result<Tried, NoAttempt> {
         let now = Now::read();
-        let left = self.left(now);
-        if left <= ANSWER_MARGIN {
+        let left = self.time_left(now);
+        if left <= DEADLINE_MARGIN {
             return Err(NoAttempt::OutOfTime);
         }
-        self.admit_suspect(gw, now)?;
+        self.check_quarantine(gw, now)?;
         let mut candidates = gw.candidates(&self.service, &self.session_id, now);
         let tried = self.tries.tried();
         if self.is_on_trial() {
             let seed = draw(&self.fingerprint.to_string());
-            let alone = choose_for_trial(&candidates, &tried, seed, now);
-            candidates = alone.into_iter().collect();
+            let chosen = choose_for_trial(&candidates, &tried, seed, now);
+            candidates = chosen.into_iter().collect();
         }
-        let choice = self.place(gw, &candidates, &tried, plan.model, now);
-        let choice = choice.ok_or_else(|| self.no_upstream(gw, now))?;
+        let choice = self.choose_upstream(gw, &candidates, &tried, plan.model, now);
+        let choice = choice.ok_or_else(|| self.no_upstream_reason(gw, now))?;
         let upstream = &choice.upstream;
-        if !self.pay(gw, plan.repeat, now) {
+        if !self.charge_retry_budget(gw, plan.retry_kind, now) {
             return Err(NoAttempt::OutOfBudget);
         }
         self.tries.exclude(upstream);
         upstream.take_turn(now);
         let limits = TryLimits {
-            head: plan.head.within(left),
+            head: plan.head_wait.within(left),
             reading: choice.reading,
             tells_rate: choice.tells_rate(),
             may_reuse: self.route.kind.is_repeatable(),
         };
         gw.long_reads
             .note(&gw.incarnation, upstream, limits.reading);
-        let out = self.outgoing(gw, &choice, plan, now);
-        let timed = gw.time_try(self, &choice, now);
-        let tried = try_upstream(&gw.connections, &gw.headers, upstream, out, limits).await;
+        let outgoing = self.build_outgoing(gw, &choice, plan, now);
+        let timing = gw.time_try(self, &choice, now);
+        let tried = try_upstream(&gw.connections, &gw.headers, upstream, outgoing, limits).await;
         match self.route.kind.stream_gap() {
-            Some(_) => gw.head_came(&tried, timed, Now::read()),
-            None => *self.timed.borrow_mut() = timed,
+            Some(_) => gw.head_came(&tried, timing, Now::read()),
+            None => *self.timing.borrow_mut() = timing,
         }
-        self.record(gw, &choice, &tried, plan);
+        self.record_attempt(gw, &choice, &tried, plan);
         Ok(tried)
     }
 
-    /// Tells why no upstream can be asked.
-    fn no_upstream(&self, gw: &Gateway, now: Now) -> NoAttempt {
+    /// Returns why no upstream can be tried.
+    fn no_upstream_reason(&self, gw: &Gateway, now: Now) -> NoAttempt {
         if gw.is_evacuated(&self.service) {
             return NoAttempt::Evacuated;
         }
@@ -224,32 +226,35 @@
         pause.map_or(NoAttempt::NoUpstream, NoAttempt::Paused)
     }
 
-    /// Decides whether a request that may have crashed upstreams is sent.
-    fn admit_suspect(&self, gw: &Gateway, now: Now) -> Result<(), NoAttempt> {
+    /// Decides whether a request that may have crashed upstreams may be sent; begins its trial if
+    /// it has to prove itself.
+    fn check_quarantine(&self, gw: &Gateway, now: Now) -> Result<(), NoAttempt> {
         match (
             gw.quarantine.standing(self.fingerprint, now),
             self.trial.get(),
         ) {
             (Standing::Clear, _) => Ok(()),
             (Standing::Quarantined, _) => Err(NoAttempt::Quarantined),
-            // The trial is this request's own, and no upstream has run it yet.
-            (Standing::Suspect | Standing::OnTrial(_), Trial::Open) => Ok(()),
-            (Standing::Suspect, Trial::None | Trial::Over) => {
+            // This request holds the trial, and no upstream has run it yet.
+            (Standing::Suspect | Standing::OnTrial(_), QuarantineTrial::Open) => Ok(()),
+            (Standing::Suspect, QuarantineTrial::None | QuarantineTrial::Finished) => {
                 gw.quarantine.begin_trial(self.fingerprint, now);
-                self.trial.set(Trial::Open);
+                self.trial.set(QuarantineTrial::Open);
                 Ok(())
             }
-            (Standing::OnTrial(left), Trial::None | Trial::Over) => Err(NoAttempt::OnTrial(left)),
+            (Standing::OnTrial(left), QuarantineTrial::None | QuarantineTrial::Finished) => {
+                Err(NoAttempt::OnTrial(left))
+            }
         }
     }
 
-    /// Tells whether the request is on trial for the crashes that it was at.
+    /// Returns whether the request is on trial because upstreams crashed while they ran it.
     pub fn is_on_trial(&self) -> bool {
-        self.trial.get() == Trial::Open
+        self.trial.get() == QuarantineTrial::Open
     }
 
     /// Records that a run of the request broke off, which ends its trial.
-    pub fn broke_off(&self, gw: &Gateway, upstream: &Rc<Upstream>, now: Now) {
+    pub fn record_broken_run(&self, gw: &Gateway, upstream: &Rc<Upstream>, now: Now) {
         let part = match self.is_on_trial() {
             true => Part::OnTrial,
             false => Part::Present,
@@ -259,24 +264,24 @@
             part,
         };
         gw.run_broke_off(run, upstream, now);
-        self.end_trial();
+        self.finish_trial();
     }
 
-    /// Lets another send of the request be tried where this one came to no run.
-    pub fn give_up_trial(&self, gw: &Gateway, now: Now) {
+    /// Gives up a trial that was never run, so that another send of the request can take it.
+    pub fn release_trial(&self, gw: &Gateway, now: Now) {
         if self.is_on_trial() {
             gw.quarantine.end_trial(self.fingerprint, now);
         }
     }
 
-    fn end_trial(&self) {
+    fn finish_trial(&self) {
         if self.is_on_trial() {
-            self.trial.set(Trial::Over);
+            self.trial.set(QuarantineTrial::Finished);
         }
     }
 
-    /// Chooses the upstream that a try with a model would go to.
-    fn place(
+    /// Chooses the upstream that an attempt with a model would go to.
+    fn choose_upstream(
         &self,
         gw: &Gateway,
         candidates: &[Rc<Upstream>],
@@ -284,10 +289,10 @@
         model: Option<&str>,
         now: Now,
     ) -> Option<Choice> {
-        let shared = self.shared_name(model);
+        let shared_prefix = self.shared_prefix_key(model);
         let wish = Wish {
             hall: &gw.settings().hall,
-            prompt: self.shared_prompt(gw, shared.as_deref(), model),
+            prompt: self.shared_prompt(gw, shared_prefix.as_deref(), model),
             tried,
             draw: draw(&self.request_id),
             compared: compared(gw.knowledge.borrow().box_count()),
@@ -295,48 +300,49 @@
         choose(candidates, wish, now)
     }
 
-    /// Names the shared beginning of the prompt; engines keep what they have read by model.
-    fn shared_name(&self, model: Option<&str>) -> Option<String> {
-        let part = self.prompt.shared.as_ref()?;
+    /// Returns the key of the prompt's shared prefix. It contains the model, since engines cache
+    /// what they have read by model.
+    fn shared_prefix_key(&self, model: Option<&str>) -> Option<String> {
+        let part = self.prompt.shared_part_id.as_ref()?;
         Some(format!("{part} {}", model.unwrap_or_default()))
     }
 
     fn shared_prompt<'a>(
         &self,
         gw: &Gateway,
-        shared: Option<&'a str>,
+        shared_prefix: Option<&'a str>,
         model: Option<&str>,
     ) -> Option<SharedPrompt<'a>> {
-        let whole = self.prompt.weighted_tokens();
+        let all_tokens = self.prompt.weighted_tokens();
         let shared_tokens = self.prompt.shared_tokens as f64;
         let time = |tokens: f64| gw.prompt_reading_time(&self.service, model, tokens);
         Some(SharedPrompt {
-            shared: shared?,
+            shared: shared_prefix?,
             spread: match gw.is_most_expensive(&self.service, model) {
                 true => Spread::OneEngine,
                 false => Spread::OneEngineAHall,
             },
-            whole: time(whole),
-            rest: time(whole - shared_tokens),
+            whole: time(all_tokens),
+            rest: time(all_tokens - shared_tokens),
             shared_tokens,
             bytes: self.body.len(),
         })
     }
 
-    /// Returns how long a model's first event would take from now on.
-    pub fn expected(&self, gw: &Gateway, model: Option<&str>, now: Now) -> Expected {
+    /// Returns the expected time from now until a model's first event.
+    pub fn expected_first_event(&self, gw: &Gateway, model: Option<&str>, now: Now) -> Expected {
         let candidates = gw.candidates(&self.service, &self.session_id, now);
-        self.expected_among(gw, &candidates, model, now)
+        self.expected_among_candidates(gw, &candidates, model, now)
     }
 
-    fn expected_among(
+    fn expected_among_candidates(
         &self,
         gw: &Gateway,
         candidates: &[Rc<Upstream>],
         model: Option<&str>,
         now: Now,
     ) -> Expected {
-        let choice = self.place(gw, candidates, &[], model, now);
+        let choice = self.choose_upstream(gw, candidates, &[], model, now);
         let (ahead, reading) = choice.map_or((Duration::ZERO, Duration::ZERO), |choice| {
             (choice.ahead, choice.reading)
         });
@@ -346,23 +352,32 @@
         }
     }
 
-    /// Returns how long each model's first event would take from now on.
-    pub fn expected_of_all(&self, gw: &Gateway, models: &[String], now: Now) -> Vec<Expected> {
+    /// Returns the expected time from now until each model's first event.
+    pub fn expected_first_events(
+        &self,
+        gw: &Gateway,
+        models: &[String],
+        now: Now,
+    ) -> Vec<Expected> {
         let candidates = gw.candidates(&self.service, &self.session_id, now);
-        let expected = |model: &String| self.expected_among(gw, &candidates, Some(model), now);
+        let expected =
+            |model: &String| self.expected_among_candidates(gw, &candidates, Some(model), now);
         models.iter().map(expected).collect()
     }
 
-    /// Returns what is left of the route's objective.
-    pub fn left_of_objective(&self, now: Now) -> Duration {
-        let spent = now.monotonic.saturating_sub(self.received);
-        self.route.latency_objective.saturating_sub(spent)
+    /// Returns the time left until the route's latency objective is missed.
+    pub fn objective_left(&self, now: Now) -> Duration {
+        let elapsed = now.monotonic.saturating_sub(self.received);
+        self.route.latency_objective.saturating_sub(elapsed)
     }
 
-    fn pay(&self, gw: &Gateway, repeat: Repeat, now: Now) -> bool {
+    /// Charges the retry budget for an attempt; false if the budget does not allow it.
+    ///
+    /// The first attempt is free, and adds to the budget once.
+    fn charge_retry_budget(&self, gw: &Gateway, retry_kind: Repeat, now: Now) -> bool {
         gw.with_retry_window(&self.service, |window| {
             if self.tries.sent() > 0 {
-                return window.take(repeat, now);
+                return window.take(retry_kind, now);
             }
             if self.tries.count_first() {
                 window.first(now);
@@ -371,7 +386,7 @@
         })
     }
 
-    fn record(&self, gw: &Gateway, choice: &Choice, tried: &Tried, plan: AttemptPlan<'_>) {
+    fn record_attempt(&self, gw: &Gateway, choice: &Choice, tried: &Tried, plan: AttemptPlan<'_>) {
         self.tries.record(tried);
         if choice.upstream.says_it_leaves() {
             gw.hear_leaving(&choice.upstream, Now::read());
@@ -383,15 +398,21 @@
         }
         match tried {
             Tried::Unknown(Failure::Broken(_)) => {
-                self.broke_off(gw, &choice.upstream, Now::read());
+                self.record_broken_run(gw, &choice.upstream, Now::read());
             }
-            Tried::Unknown(_) => self.end_trial(),
+            Tried::Unknown(_) => self.finish_trial(),
             Tried::Answered(_) | Tried::NotRun(_) => {}
         }
         gw.telemetry.record_attempt(self, choice, tried, plan);
     }
 
-    fn outgoing(&self, gw: &Gateway, choice: &Choice, plan: AttemptPlan<'_>, now: Now) -> Outgoing {
+    fn build_outgoing(
+        &self,
+        gw: &Gateway,
+        choice: &Choice,
+        plan: AttemptPlan<'_>,
+        now: Now,
+    ) -> Outgoing {
         let names = &gw.headers;
         let mut headers = self.headers.clone();
         let mut set = |name: &http::HeaderName, value: &str| {
@@ -401,10 +422,10 @@
                 (Ok(name), Ok(value)) => {
                     headers.insert(name, value);
                 }
-                _ => log::error!(request = self.request_id.as_str(); "a header cannot be set"),
+                _ => log::error!(request = self.request_id.as_str(); "cannot set a header"),
             }
         };
-        let left = self.left(now).saturating_sub(ANSWER_MARGIN);
+        let left = self.time_left(now).saturating_sub(DEADLINE_MARGIN);
         set(&names.deadline, &left.as_millis().to_string());
         set(&names.expect_instance, &choice.upstream.life().instance);
         if let Beginning::Fetched(keeper) = choice.beginning {
@@ -434,13 +455,13 @@
     }
 }
 
-/// Tells whether a model header leaves the choice to the router.
-pub fn leaves_choice(model: Option<&str>) -> bool {
+/// Returns whether a model header leaves the choice of the model to the router.
+pub fn lets_router_choose(model: Option<&str>) -> bool {
     model == Some(ANY_MODEL)
 }
 
 impl Tried {
-    /// Describes the outcome for the log.
+    /// Describes the outcome of the attempt for the log.
     pub fn describe(&self) -> String {
         match self {
             Self::Answered(answer) => format!("answered {}", answer.status),
--- a/src/gateway/admit/routes.rs
+++ b/src/gateway/admit/routes.rs
@@ -1,7 +1,7 @@
-//! Which service a request goes to, and on whose behalf.
+//! The routing table: which service a request goes to, and for which organisation.
 //!
-//! A [`RouteTable`] is one version of the operators' configuration. Tables are replaced
-//! as a whole and never edited, so that a request sees one version from start to end.
+//! A [`RouteTable`] holds one version of the operators' configuration. A new version replaces the
+//! whole table; tables are never modified, so a request sees one version from start to end.
 //! See `docs/design/platform.md`.
 
 use crate::gateway::place::warm_up::WarmUp;
@@ -9,72 +9,73 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// One version of the configuration in force.
+/// The routing table of one version of the configuration.
 #[derive(Debug, Clone, Default)]
 pub struct RouteTable {
-    /// The operators' version; a higher one is newer.
+    /// The version that the operators gave the configuration; higher is newer.
     pub version: u64,
-    /// The routes of each host, longest prefix first.
+    /// The routes by host, longest prefix first.
     routes: HashMap<String, Vec<Arc<Route>>>,
     /// The services by name.
     pub services: HashMap<String, Service>,
-    /// What callers may send and how long they may rest.
+    /// Limits on callers' requests and connections.
     pub limits: CallerLimits,
     organisations_by_key: HashMap<String, Organisation>,
     requires_keys: bool,
-    /// The highest and the lowest rank of the routes that choose models; none without such routes.
+    /// The most and the least urgent priority of the routes on which the router chooses the model;
+    /// `None` without such routes.
     rank_range: Option<(u8, u8)>,
 }
 
-/// The part of the way down the ranks that stands for a route where all have the same rank.
+/// The relative rank of every route where all routes have the same priority.
 pub const NEUTRAL_RELATIVE_RANK: f64 = 0.5;
 
 /// One rule that maps a host and a path prefix to a service.
 #[derive(Debug, Clone)]
 pub struct Route {
-    /// The operators' name of the route, for logs.
+    /// The name that operators gave the route, for logs.
     pub name: String,
-    /// The host, without a port, in lower case.
+    /// The host in lower case, without a port.
     pub host: String,
-    /// The path prefix; it begins and ends with a slash.
+    /// The path prefix, with a slash at both ends.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may run more than once, and whether the response is a stream.
     pub kind: RouteKind,
-    /// How long the operators want a request held at most.
+    /// The longest time that operators allow for a request.
     pub timeout: Duration,
-    /// The time inside which an answer is fully useful.
+    /// The latency objective: a later response is worth less to the caller.
     pub latency_objective: Duration,
-    /// The rank, 0 the highest.
+    /// The priority; 0 is the most urgent.
     pub priority: u8,
-    /// The most upstreams that one request may run on.
+    /// The limit on the number of upstreams that run one request.
     pub max_attempts: u32,
     /// Whether callers need no key.
     pub public: bool,
-    /// The models that the router may choose from, smallest first; empty on routes
-    /// where callers name the model or there is none.
+    /// The models that the router may choose from, smallest first; empty on routes where callers
+    /// name the model or that use none.
     pub models: Vec<String>,
-    /// The services with their weights; one entry on most routes.
+    /// The services with their traffic weights; one entry on most routes.
     pub services: Vec<(String, u32)>,
 }
 
-/// What may be repeated on a route.
+/// How requests of a route may be retried, and how they are answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
     /// A request may run more than once.
     Idempotent,
     /// A request runs at most once.
     NonIdempotent,
-    /// The answer is a stream of events.
+    /// The response is a stream of events.
     Stream {
-        /// Whether another upstream may go on where a stream broke.
+        /// Whether another upstream can resume a stream that broke off.
         resumable: bool,
-        /// The longest pause between two events that is still in time.
+        /// The objective for the pause between two events: a longer one is late.
         max_event_gap: Duration,
     },
 }
 
 impl RouteKind {
-    /// Tells whether a request may run more than once.
+    /// Returns whether a request may run more than once.
     pub fn is_repeatable(self) -> bool {
         match self {
             Self::Idempotent => true,
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Returns the longest pause between events, on streams.
+    /// Returns the objective for the pause between two events, on stream routes.
     pub fn stream_gap(self) -> Option<Duration> {
         match self {
             Self::Stream { max_event_gap, .. } => Some(max_event_gap),
@@ -92,52 +93,52 @@
     }
 }
 
-/// A service that routes lead to.
+/// A service that routes send requests to.
 #[derive(Debug, Clone, Default)]
 pub struct Service {
-    /// What its model engines can do; none for plain services.
+    /// The capabilities of its model engines; `None` for services without models.
     pub engine: Option<Engine>,
-    /// What its upstreams bear after a start; none where they bear all at once.
+    /// How much load its upstreams can take after a start; `None` if they need no warm-up.
     pub warm_up: Option<WarmUp>,
 }
 
-/// What the model engines of a service can do.
+/// The capabilities of a service's model engines.
 #[derive(Debug, Clone, Default)]
 pub struct Engine {
-    /// The models that engines run, with the price of a thousand tokens made.
+    /// The models that the engines run, with the price of a thousand generated tokens.
     pub models: Vec<(String, f64)>,
 }
 
 impl Engine {
-    /// Returns a model's price as a part of the dearest model's; one for a model without a
+    /// Returns a model's price as a fraction of the most expensive model's; 1 for a model without a
     /// price.
     pub fn relative_price(&self, model: &str) -> f64 {
-        let dearest = self
+        let highest_price = self
             .models
             .iter()
             .map(|(_, price)| *price)
             .fold(0.0, f64::max);
         let found = self.models.iter().find(|(name, _)| name == model);
         match found {
-            Some((_, price)) if dearest > 0.0 => price / dearest,
+            Some((_, price)) if highest_price > 0.0 => price / highest_price,
             _ => 1.0,
         }
     }
 }
 
-/// What callers may send, and how long they may rest.
+/// Limits on callers' requests and connections.
 #[derive(Debug, Clone, Copy)]
 pub struct CallerLimits {
-    /// The largest body, in bytes.
+    /// The size limit of a request body.
     pub max_body_bytes: usize,
-    /// The longest time for the head of a request.
+    /// How long a caller may take to send the head of a request.
     pub header_timeout: Duration,
-    /// How long a kept connection may rest.
+    /// How long a kept-alive connection may stay idle, and how long a body may make no progress.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    /// Generous limits for the moments before a configuration is known.
+    /// Generous limits for the time before a configuration is known.
     fn default() -> Self {
         Self {
             max_body_bytes: 4 * 1024 * 1024,
@@ -147,31 +148,31 @@
     }
 }
 
-/// Who sends requests.
+/// An organisation that sends requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Organisation {
-    /// The organisation's name, as upstreams are told it.
+    /// The organisation's name, as it is sent to upstreams.
     pub name: String,
-    /// The rank, 0 the highest; it goes before the route's.
+    /// The priority, 0 the most urgent; it is compared before the route's.
     pub priority: u8,
 }
 
-/// What a request's key says.
+/// Who sent a request, according to its key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Caller<'a> {
-    /// The route or the whole configuration asks for no key.
+    /// The route or the whole configuration requires no key.
     Anonymous,
     /// The key belongs to this organisation.
     Known(&'a Organisation),
-    /// The key is missing or belongs to nobody.
+    /// The key is missing or belongs to no organisation.
     Unknown,
 }
 
 impl RouteTable {
-    /// Makes a table.
+    /// Builds a table.
     ///
-    /// `organisations` gives each organisation with its keys; none means that the
-    /// configuration asks for no keys at all.
+    /// `organisations` lists each organisation with its keys; `None` means that the configuration
+    /// requires no keys at all.
     pub fn new(
         version: u64,
         routes: Vec<Route>,
@@ -179,9 +180,9 @@
         limits: CallerLimits,
         organisations: Option<Vec<(Organisation, Vec<String>)>>,
     ) -> Self {
-        let choosing = routes.iter().filter(|route| !route.models.is_empty());
-        let ranks: Vec<u8> = choosing.map(|route| route.priority).collect();
-        let highest = ranks.iter().min().copied();
+        let model_routes = routes.iter().filter(|route| !route.models.is_empty());
+        let priorities: Vec<u8> = model_routes.map(|route| route.priority).collect();
+        let most_urgent = priorities.iter().min().copied();
         let mut by_host: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in routes {
             let routes = by_host.entry(route.host.clone()).or_default();
@@ -204,32 +205,32 @@
             limits,
             organisations_by_key,
             requires_keys,
-            rank_range: highest.zip(ranks.into_iter().max()),
+            rank_range: most_urgent.zip(priorities.into_iter().max()),
         }
     }
 
-    /// Returns how far down a rank is among the routes that choose models: 0 for the most urgent
-    /// ones, 1 for the least urgent.
+    /// Returns where a priority lies among those of the routes on which the router chooses the
+    /// model, from 0 (most urgent) to 1 (least urgent).
     pub fn relative_rank(&self, priority: u8) -> f64 {
         match self.rank_range {
-            Some((highest, lowest)) if highest < lowest => {
-                let below = priority.clamp(highest, lowest) - highest;
-                f64::from(below) / f64::from(lowest - highest)
+            Some((most_urgent, least_urgent)) if most_urgent < least_urgent => {
+                let offset = priority.clamp(most_urgent, least_urgent) - most_urgent;
+                f64::from(offset) / f64::from(least_urgent - most_urgent)
             }
             _ => NEUTRAL_RELATIVE_RANK,
         }
     }
 
-    /// Returns the route with the longest prefix of a path on a host.
+    /// Returns the route with the longest prefix that matches a path on a host.
     ///
-    /// A port behind the host is ignored, and the host's case does not matter.
+    /// The host is compared without its port and without regard to case.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = self.routes.get(&name.to_ascii_lowercase())?;
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// Returns whose key a request on a route carries.
+    /// Identifies the sender of a request on a route by its key.
     pub fn caller(&self, route: &Route, key: Option<&str>) -> Caller<'_> {
         if route.public || !self.requires_keys {
             return Caller::Anonymous;
@@ -245,18 +246,18 @@
         self.routes.values().map(Vec::len).sum()
     }
 
-    /// Tells whether there is no route.
+    /// Returns whether there is no route.
     pub fn is_empty(&self) -> bool {
         self.routes.is_empty()
     }
 }
 
 impl Route {
-    /// Returns the service that a request goes to, by a number that the request keeps.
+    /// Chooses the service for a request by weight.
     ///
-    /// The same number always leads to the same service, so that a request that is
-    /// repeated or resumed does not change services.
-    pub fn service_for(&self, draw: u64) -> Option<&str> {
+    /// `hash` is derived from the request: the same hash always gives the same service, so that a
+    /// request that is retried or resumed does not change services.
+    pub fn service_for(&self, hash: u64) -> Option<&str> {
         let total: u64 = self
             .services
             .iter()
@@ -265,13 +266,13 @@
         if total == 0 {
             return None;
         }
-        let mut left = draw % total;
+        let mut remaining = hash % total;
         for (service, weight) in &self.services {
             let weight = u64::from(*weight);
-            if left < weight {
+            if remaining < weight {
                 return Some(service);
             }
-            left -= weight;
+            remaining -= weight;
         }
         None
     }
--- a/src/gateway/admit/serve.rs
+++ b/src/gateway/admit/serve.rs
@@ -1,7 +1,7 @@
-//! From a caller's request to the answer that it gets.
+//! Serves callers' requests: admission, the attempts at upstreams, and the response.
 
 use super::prompt::Prompt;
-use super::request::{AdmittedRequest, leaves_choice};
+use super::request::{AdmittedRequest, lets_router_choose};
 use super::routes::{Caller, Route, RouteTable};
 use crate::clock::Now;
 use crate::fingerprint::{Fingerprint, Identity};
@@ -24,41 +24,42 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The router reads bodies whole before it sends them, so it never asks to be expected.
+/// The `expect` header, which is not forwarded: the router has the whole body before it sends it,
+/// so it never needs `100 Continue` from an upstream.
 const EXPECT: &str = "expect";
 
-/// Serves one request and says so in the log.
+/// Serves one request and logs the outcome.
 pub async fn serve(gw: Rc<Gateway>, mut req: Request) -> Response<BoxBody> {
     let received = Now::read();
-    let _counted = gw.track_request();
+    let _in_flight = gw.track_request();
     let request_id = header(&req, &gw.headers.request_id)
         .unwrap_or_default()
         .to_owned();
     let mut response = match admit(&gw, &mut req, &request_id, received).await {
-        Ok(request) => serve_job(&gw, Rc::new(request)).await,
+        Ok(request) => serve_admitted(&gw, Rc::new(request)).await,
         Err(why) => refuse(&gw, &request_id, None, why, Execution::Never, received),
     };
     gw.caller_connections.ask_to_leave(&mut response);
     response
 }
 
-/// Checks a request and reads it whole.
+/// Decides whether a request is admitted, and reads its body.
 async fn admit(
     gw: &Gateway,
     req: &mut Request,
     request_id: &str,
     received: Now,
 ) -> Result<AdmittedRequest, RefusalReason> {
-    let asked = header(req, &gw.headers.deadline).and_then(|text| text.parse().ok());
-    let caller_waits = asked.map(Duration::from_millis);
-    let waiting = StartupWait {
+    let caller_timeout_ms = header(req, &gw.headers.deadline).and_then(|text| text.parse().ok());
+    let caller_timeout = caller_timeout_ms.map(Duration::from_millis);
+    let startup_wait = StartupWait {
         received: received.monotonic,
-        caller_timeout: caller_waits,
+        caller_timeout,
     };
-    let routes = await_routes(gw, waiting).await?;
+    let routes = wait_for_routes(gw, startup_wait).await?;
     check_caller(gw, req, &routes, received)?;
     let body = read_body(req, &routes, received).await?;
-    // Reading may have taken long: what is in force now decides.
+    // Reading the body may have taken long, so the configuration that is in force now decides.
     let routes = gw.knowledge.borrow().routes().cloned().unwrap_or(routes);
     let now = Now::read();
     let route = check_caller(gw, req, &routes, now)?.clone();
@@ -67,16 +68,16 @@
         Caller::Anonymous | Caller::Unknown => None,
     };
     let model = header(req, &gw.headers.model);
-    let chooses_model = leaves_choice(model);
-    if !route.models.is_empty() && model.is_some() && !chooses_model {
+    let router_chooses_model = lets_router_choose(model);
+    if !route.models.is_empty() && model.is_some() && !router_chooses_model {
         return Err(RefusalReason::ModelNamed);
     }
     if gw.is_too_late_to_admit(route.kind, now) {
         return Err(RefusalReason::Stopping);
     }
-    let wait = caller_waits.unwrap_or(route.timeout);
-    let prompt = Prompt::read(header(req, &gw.headers.prompt_parts));
-    let session = header(req, &gw.headers.session).unwrap_or(request_id);
+    let timeout = caller_timeout.unwrap_or(route.timeout);
+    let prompt = Prompt::parse(header(req, &gw.headers.prompt_parts));
+    let session_id = header(req, &gw.headers.session).unwrap_or(request_id);
     let service = route
         .service_for(draw(request_id))
         .ok_or(RefusalReason::NoRoute)?
@@ -97,29 +98,30 @@
         organisation,
         method: method_of(req),
         target,
-        headers: passed_headers(gw, req),
+        headers: forwarded_headers(gw, req),
         body,
         received: received.monotonic,
-        deadline: received.monotonic + wait.min(route.timeout),
+        deadline: received.monotonic + timeout.min(route.timeout),
         prompt,
-        session_id: session.to_owned(),
-        chooses_model,
+        session_id: session_id.to_owned(),
+        router_chooses_model,
         route,
         tries: Tries::default(),
         trial: Default::default(),
-        timed: Default::default(),
+        timing: Default::default(),
     })
 }
 
-/// Returns the routes in force, which a box that has just started is about to learn together
-/// with the proof that they are the newest.
-async fn await_routes(
+/// Returns the routing table in force.
+///
+/// A box that has just started waits for its first table, and for the proof that it is the newest.
+async fn wait_for_routes(
     gw: &Gateway,
-    waiting: StartupWait,
+    startup_wait: StartupWait,
 ) -> Result<Arc<RouteTable>, RefusalReason> {
-    let wait = gw.remaining_startup_wait(waiting, Now::read());
-    // Whether it was learned or the wait is over, what is known then tells.
-    let _ = tokio::time::timeout(wait, gw.wait_for_first_config()).await;
+    let timeout = gw.remaining_startup_wait(startup_wait, Now::read());
+    // A timeout is no failure by itself: a table that is known without the proof will do.
+    let _ = tokio::time::timeout(timeout, gw.wait_for_first_config()).await;
     let knowledge = gw.knowledge.borrow();
     knowledge
         .routes()
@@ -127,30 +129,30 @@
         .ok_or(RefusalReason::NoConfiguration)
 }
 
-/// Checks the route, the key and how fresh the knowledge of both is.
+/// Checks a request's route and key, and that the knowledge of both is fresh enough.
 fn check_caller<'a>(
     gw: &Gateway,
     req: &Request,
     routes: &'a RouteTable,
     now: Now,
 ) -> Result<&'a Arc<Route>, RefusalReason> {
-    let found = find_route(req, routes);
-    let caller = found.map(|route| routes.caller(route, header(req, &gw.headers.key)));
-    let unproved = gw.settings().bounds.unverified_key_policy;
-    check(caller, gw.proof(now), unproved)?;
-    found.ok_or(RefusalReason::NoRoute)
+    let route = find_route(req, routes);
+    let caller = route.map(|route| routes.caller(route, header(req, &gw.headers.key)));
+    let policy = gw.settings().bounds.unverified_key_policy;
+    check(caller, gw.proof(now), policy)?;
+    route.ok_or(RefusalReason::NoRoute)
 }
 
-/// Decides by a request's route and key whether it is served; no caller means that it has
-/// no route.
+/// Decides by its route and key whether a request is served; `caller` is `None` if no route
+/// matches.
 ///
-/// That a route or a key does not exist is only said while what is known is proved to be
-/// the newest: the operators may have added it since. A box that has known for too long
-/// that there is something newer serves nothing by what it has.
+/// A request is only told that its route or key does not exist while the knowledge is proved to be
+/// the newest, since operators may have added it meanwhile. A box that has known for too long that
+/// something newer exists serves nothing by what it has.
 pub fn check(
     caller: Option<Caller<'_>>,
     proof: Proof,
-    unproved: UnverifiedKeyPolicy,
+    policy: UnverifiedKeyPolicy,
 ) -> Result<(), RefusalReason> {
     if proof == Proof::Outdated {
         return Err(RefusalReason::Stale);
@@ -158,7 +160,7 @@
     match (caller, proof) {
         (Some(Caller::Anonymous), _) => Ok(()),
         (Some(Caller::Known(_)), Proof::Newest | Proof::KeysHold) => Ok(()),
-        (Some(Caller::Known(_)), _) => match unproved {
+        (Some(Caller::Known(_)), _) => match policy {
             UnverifiedKeyPolicy::ServeKnown => Ok(()),
             UnverifiedKeyPolicy::Refuse => Err(RefusalReason::Stale),
         },
@@ -185,24 +187,24 @@
     let limit = routes.limits.max_body_bytes;
     let mut payload = req.take_payload();
     let mut body = BytesMut::new();
-    let patience = routes.limits.idle_timeout;
-    while let Some(piece) = tokio::time::timeout(patience, payload.next())
+    let idle_timeout = routes.limits.idle_timeout;
+    while let Some(chunk) = tokio::time::timeout(idle_timeout, payload.next())
         .await
         .map_err(|_elapsed| RefusalReason::NoBody)?
     {
-        let piece = piece.map_err(|err| {
-            log::debug!(received_ms = received.monotonic.as_millis() as u64; "no whole body: {err}");
+        let chunk = chunk.map_err(|err| {
+            log::debug!(received_ms = received.monotonic.as_millis() as u64; "the body is incomplete: {err}");
             RefusalReason::NoBody
         })?;
-        if body.len() + piece.len() > limit {
+        if body.len() + chunk.len() > limit {
             return Err(RefusalReason::TooLarge);
         }
-        body.extend_from_slice(&piece);
+        body.extend_from_slice(&chunk);
     }
     Ok(body.freeze())
 }
 
-async fn serve_job(gw: &Rc<Gateway>, request: Rc<AdmittedRequest>) -> Response<BoxBody> {
+async fn serve_admitted(gw: &Rc<Gateway>, request: Rc<AdmittedRequest>) -> Response<BoxBody> {
     let result = match request.route.kind.stream_gap() {
         Some(_) => stream::begin(gw, &request).await,
         None => buffered::serve(gw, &request).await.map(Begun::Failed),
@@ -218,7 +220,7 @@
             whole_response(whole)
         }
         Err(why) => {
-            request.give_up_trial(gw, Now::read());
+            request.release_trial(gw, Now::read());
             let received = Now {
                 monotonic: request.received,
                 ..Now::read()
@@ -263,11 +265,11 @@
     headers: &http1_types::HeaderMap,
     relay: Box<Relay>,
 ) -> Response<BoxBody> {
-    let counted = gw.track_request();
-    let events = futures::stream::unfold(Some((relay, counted)), |state| async move {
-        let (mut relay, counted) = state?;
+    let in_flight = gw.track_request();
+    let events = futures::stream::unfold(Some((relay, in_flight)), |state| async move {
+        let (mut relay, in_flight) = state?;
         match relay.next().await? {
-            Ok(bytes) => Some((Ok(bytes), Some((relay, counted)))),
+            Ok(bytes) => Some((Ok(bytes), Some((relay, in_flight)))),
             Err(err) => Some((Err(err), None)),
         }
     });
@@ -275,7 +277,7 @@
     head(StatusCode::OK.as_u16(), headers).set_body(body)
 }
 
-/// Makes the head of an answer as the upstream gave it.
+/// Builds the head of a response from the upstream's, without hop-by-hop headers.
 fn head(status: u16, headers: &http1_types::HeaderMap) -> Response<BoxBody> {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = Response::build(status);
@@ -297,7 +299,7 @@
 }
 
 fn method_of(req: &Request) -> http1_types::Method {
-    // The server has checked the method already; this only changes the type.
+    // The server has already validated the method; this only converts its type.
     http1_types::Method::from_bytes(req.method().as_str().as_bytes()).unwrap_or_default()
 }
 
@@ -307,10 +309,10 @@
         .map_or_else(|| req.path().to_owned(), ToString::to_string)
 }
 
-/// Returns the caller's headers that upstreams get.
-fn passed_headers(gw: &Gateway, req: &Request) -> http1_types::HeaderMap {
+/// Returns the caller's headers that are forwarded to upstreams.
+fn forwarded_headers(gw: &Gateway, req: &Request) -> http1_types::HeaderMap {
     let names = &gw.headers;
-    let mut passed = http1_types::HeaderMap::new();
+    let mut forwarded = http1_types::HeaderMap::new();
     let connection = req.headers().get_all("connection");
     let hop_by_hop = HopByHop::read(connection.filter_map(|value| value.to_str().ok()));
     for (name, value) in req.headers() {
@@ -322,8 +324,8 @@
         let name = hyper::header::HeaderName::from_bytes(name.as_bytes());
         let value = hyper::header::HeaderValue::from_bytes(value.as_bytes());
         if let (Ok(name), Ok(value)) = (name, value) {
-            passed.append(name, value);
+            forwarded.append(name, value);
         }
     }
-    passed
+    forwarded
 }
--- a/src/gateway/answer/buffered.rs
+++ b/src/gateway/answer/buffered.rs
@@ -45,8 +45,8 @@
         let plan = AttemptPlan {
             model: None,
             resume_after: None,
-            head: patience(gw, request, Now::read()),
-            repeat: Repeat::Failure,
+            head_wait: patience(gw, request, Now::read()),
+            retry_kind: Repeat::Failure,
         };
         match request.run_attempt(gw, plan).await {
             Ok(Tried::Answered(answer)) => match take_whole(gw, request, *answer).await {
@@ -55,7 +55,9 @@
                 None => {}
             },
             Ok(Tried::NotRun(_) | Tried::Unknown(_)) => {}
-            Err(NoAttempt::NoUpstream) if request.should_wait(gw, RETRY_PAUSE, Now::read()) => {
+            Err(NoAttempt::NoUpstream)
+                if request.should_wait_for_upstream(gw, RETRY_PAUSE, Now::read()) =>
+            {
                 tokio::time::sleep(RETRY_PAUSE).await;
                 request.tries.allow_all();
             }
@@ -75,13 +77,11 @@
 fn patience(gw: &Gateway, request: &AdmittedRequest, now: Now) -> Patience {
     let all = Patience::up_to(Duration::MAX);
     match request.route.kind {
-        RouteKind::Idempotent if !request.has_last_run_left() && request.can_repeat(gw, now) => {
-            Patience {
-                silent: request.route.latency_objective * SILENT_OBJECTIVES,
-                alive: request.route.latency_objective * ALIVE_OBJECTIVES,
-                ..all
-            }
-        }
+        RouteKind::Idempotent if !request.is_last_run() && request.can_retry(gw, now) => Patience {
+            silent: request.route.latency_objective * SILENT_OBJECTIVES,
+            alive: request.route.latency_objective * ALIVE_OBJECTIVES,
+            ..all
+        },
         // A request that cannot run again has nowhere else to go.
         _ => all,
     }
@@ -96,13 +96,13 @@
     let now = Now::read();
     match whole.as_ref().map(|whole| whole.status) {
         Some(status) if status < SERVER_ERRORS => {
-            if let Some(timed) = request.timed.take() {
+            if let Some(timed) = request.timing.take() {
                 timed.came(now);
             }
             answer.finish(&gw.connections, now);
         }
         Some(_) => {
-            if let Some(timed) = request.timed.take() {
+            if let Some(timed) = request.timing.take() {
                 timed.failed();
             }
             answer.upstream().failed(now);
@@ -119,7 +119,7 @@
     answer: &mut Answer,
     limit: usize,
 ) -> Option<WholeAnswer> {
-    let left = request.left(Now::read());
+    let left = request.time_left(Now::read());
     let read = tokio::time::timeout(left, answer.read_whole(limit)).await;
     let reason = match read {
         Ok(Ok(body)) => {
@@ -131,7 +131,7 @@
             });
         }
         Ok(Err(reason)) => {
-            request.broke_off(gw, answer.upstream(), Now::read());
+            request.record_broken_run(gw, answer.upstream(), Now::read());
             reason
         }
         Err(_elapsed) => "out of time".to_owned(),
--- a/src/gateway/answer/relay.rs
+++ b/src/gateway/answer/relay.rs
@@ -138,7 +138,7 @@
                 return Some(Ok(events.bytes));
             }
             let answer = self.answer.as_mut()?;
-            let patience = patience(&self.request).within(self.request.left(Now::read()));
+            let patience = patience(&self.request).within(self.request.time_left(Now::read()));
             let broken = match answer
                 .next_piece_within(&self.gw.connections, patience)
                 .await
@@ -179,15 +179,15 @@
     fn note_broken(&self) {
         if let Some(answer) = &self.answer {
             self.request
-                .broke_off(&self.gw, answer.upstream(), Now::read());
+                .record_broken_run(&self.gw, answer.upstream(), Now::read());
         }
     }
 
     /// Tells whether a silent upstream is still the best hope: nobody else may be asked, or nobody
     /// else is there.
     fn should_wait_on(&self, now: Now) -> bool {
-        let cannot_go_on = || !self.request.can_repeat(&self.gw, now) || self.is_only_hope(now);
-        !self.request.left(now).is_zero() && cannot_go_on()
+        let cannot_go_on = || !self.request.can_retry(&self.gw, now) || self.is_only_hope(now);
+        !self.request.time_left(now).is_zero() && cannot_go_on()
     }
 
     /// Tells whether only the upstream that pauses could go on. It has read the prompt already, so
@@ -259,7 +259,7 @@
             let plan = AttemptPlan {
                 model: self.model.as_deref(),
                 resume_after: self.last_id.as_deref(),
-                head: match self.request.has_last_run_left() {
+                head_wait: match self.request.is_last_run() {
                     true => Patience::up_to(Duration::MAX),
                     false => Patience {
                         silent: RESUME_HEAD,
@@ -267,7 +267,7 @@
                         most: Duration::MAX,
                     },
                 },
-                repeat: Repeat::Failure,
+                retry_kind: Repeat::Failure,
             };
             match self.request.run_attempt(&self.gw, plan).await {
                 Ok(Tried::Answered(answer)) if (200..300).contains(&answer.status) => {
@@ -276,7 +276,7 @@
                     return Ok(());
                 }
                 Ok(_) => {}
-                Err(NoAttempt::NoUpstream) if !self.request.left(Now::read()).is_zero() => {
+                Err(NoAttempt::NoUpstream) if !self.request.time_left(Now::read()).is_zero() => {
                     tokio::time::sleep(RESUME_PAUSE).await;
                     self.request.tries.allow_all();
                 }
@@ -292,7 +292,7 @@
     /// Tells whether the caller bears a pause: no longer than one between two events.
     fn can_pause(&self, pause: Duration) -> bool {
         let gap = self.request.route.kind.stream_gap().unwrap_or_default();
-        pause < gap.min(self.request.left(Now::read()))
+        pause < gap.min(self.request.time_left(Now::read()))
     }
 }
 
--- a/src/gateway/answer/stream.rs
+++ b/src/gateway/answer/stream.rs
@@ -56,7 +56,7 @@
     gw: &Rc<Gateway>,
     request: &Rc<AdmittedRequest>,
 ) -> Result<Begun, RefusalReason> {
-    let models = if request.chooses_model {
+    let models = if request.router_chooses_model {
         request.route.models.as_slice()
     } else {
         &[]
@@ -70,8 +70,8 @@
         let plan = AttemptPlan {
             model,
             resume_after: None,
-            head: patience(gw, request, model, Now::read()),
-            repeat,
+            head_wait: patience(gw, request, model, Now::read()),
+            retry_kind: repeat,
         };
         repeat = Repeat::Failure;
         match request.run_attempt(gw, plan).await {
@@ -90,7 +90,9 @@
             }
             Ok(Tried::Answered(answer)) => failure = take_failure(gw, request, *answer).await,
             Ok(Tried::NotRun(_) | Tried::Unknown(_)) => {}
-            Err(NoAttempt::NoUpstream) if request.should_wait(gw, RETRY_PAUSE, Now::read()) => {
+            Err(NoAttempt::NoUpstream)
+                if request.should_wait_for_upstream(gw, RETRY_PAUSE, Now::read()) =>
+            {
                 tokio::time::sleep(RETRY_PAUSE).await;
                 request.tries.allow_all();
                 continue;
@@ -124,8 +126,8 @@
 ) -> Option<usize> {
     let confidence = confidence(gw, answer);
     let now = Now::read();
-    let expected = request.expected_of_all(gw, models, now);
-    let left = request.left_of_objective(now);
+    let expected = request.expected_first_events(gw, models, now);
+    let left = request.objective_left(now);
     let begun = BegunAnswer {
         place,
         confidence,
@@ -176,7 +178,7 @@
 
 /// Returns how long to wait for the head of an answer.
 fn patience(gw: &Gateway, request: &AdmittedRequest, model: Option<&str>, now: Now) -> Patience {
-    let can_ask_others = request.can_repeat(gw, now) && !request.has_last_run_left();
+    let can_ask_others = request.can_retry(gw, now) && !request.is_last_run();
     match request.route.kind.is_repeatable() && can_ask_others {
         true => first_event_patience(gw, request, model, now),
         false => Patience::up_to(Duration::MAX),
@@ -189,7 +191,7 @@
     model: Option<&str>,
     now: Now,
 ) -> Patience {
-    let expected = request.expected(gw, model, now).total * EXPECTED_TIMES;
+    let expected = request.expected_first_event(gw, model, now).total * EXPECTED_TIMES;
     let part = |hundredths: u32| request.route.latency_objective * hundredths / 100;
     Patience {
         silent: part(SILENT_HUNDREDTHS),
@@ -207,11 +209,11 @@
 ) -> First {
     let mut splitter = EventSplitter::default();
     let now = Now::read();
-    let patience = match request.can_repeat(gw, now) {
+    let patience = match request.can_retry(gw, now) {
         true => first_event_patience(gw, request, model.as_deref(), now),
         false => Patience::up_to(Duration::MAX),
     };
-    let patience = patience.within(request.left(now));
+    let patience = patience.within(request.time_left(now));
     let upstream = answer.upstream().clone();
     let read = async {
         loop {
@@ -236,7 +238,7 @@
         }
         Some(Err(reason)) => {
             upstream.failed(Now::read());
-            request.broke_off(gw, &upstream, Now::read());
+            request.record_broken_run(gw, &upstream, Now::read());
             reason
         }
         None => "no event came in time".to_owned(),
--- a/src/gateway/telemetry.rs
+++ b/src/gateway/telemetry.rs
@@ -135,7 +135,7 @@
             version = listed.version.as_str(),
             model = plan.model.unwrap_or(""),
             session = request.session_id.as_str(),
-            shared = request.prompt.shared.as_deref().unwrap_or(""),
+            shared = request.prompt.shared_part_id.as_deref().unwrap_or(""),
             after_event = plan.resume_after.unwrap_or(""),
             attempt = request.tries.sent(),
             ahead_ms = millis(choice.ahead),
