--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,13 +1,13 @@
-//! The data path for routes by host and path, in one process a box.
+//! The gateway: the data path for routes by host and path, one process per box.
 //!
-//! It serves callers over HTTP/1.1, follows the operators' configuration in the
-//! platform's store, and keeps nothing that has to last. All names of the deployment
-//! come from an adapter: [`Headers`] and [`ControlStore`].
+//! It serves callers over HTTP/1.1, follows the operators' configuration in the platform's store,
+//! and holds no durable state. An adapter provides all names of the deployment: [`Headers`] and
+//! [`ControlStore`].
 //!
-//! A request goes through [`admit`] (what does it ask for, and may it be served), [`place`]
-//! (which upstream and which model), [`attempt`] (one try at one upstream) and [`answer`] (an
-//! upstream's answer passed on, or a refusal). Beside it stand [`control`] (what the box knows
-//! and how it stays fresh), [`peers`] (what boxes tell each other) and [`versions`] (roll-outs).
+//! A request goes through [`admit`] (route, key, admission), [`place`] (choice of upstream and
+//! model), [`attempt`] (one attempt at one upstream) and [`answer`] (relay of the upstream's
+//! response, or refusal). Beside these are [`control`] (the box's knowledge and its freshness),
+//! [`peers`] (messages between boxes) and [`versions`] (roll-outs).
 //! See `docs/design/platform.md`.
 
 pub mod admit;
@@ -55,64 +55,64 @@
 use versions::sessions::Sessions;
 use versions::watch::VersionWatch;
 
-/// How long after the signal to stop streams are still taken. The balancer sends new
-/// connections for two seconds yet, and a refusal costs the caller a way to another box;
-/// the operators bear a stream that is cut at the end if it was sent within three seconds.
-const LONG_REQUESTS_AFTER_STOP: Duration = Duration::from_millis(2800);
-/// How long before the process's end nothing is taken any more: a plain request takes a
-/// tenth of this, and some times as long at a slow upstream.
-const LAST_TAKEN_BEFORE_END: Duration = Duration::from_millis(1200);
-/// How long after its start a box holds requests while it learns the configuration, also where
-/// each of many has to read the store by itself. A refusal would cost the caller the one time that
-/// it comes back, and the boxes that it would come back to are no further.
-const FIRST_READ: Duration = Duration::from_millis(1500);
-/// The part of a caller's time for which a request waits for the configuration: the rest has
-/// to do for serving it, and for coming back after a refusal.
-const PART_FOR_FIRST_READ: u32 = 3;
-
-/// Everything that the requests of a box share.
+/// How long after the stop signal streams are still admitted. The load balancer sends new
+/// connections for two more seconds, and a refusal costs the caller a round trip to another box;
+/// operators accept that a stream sent within three seconds of the signal is cut at the end.
+const STREAM_ADMISSION_AFTER_STOP: Duration = Duration::from_millis(2800);
+/// How long before the process exits nothing is admitted any more: a plain request takes a tenth of
+/// this, and several times as long at a slow upstream.
+const NO_ADMISSION_BEFORE_EXIT: Duration = Duration::from_millis(1200);
+/// How long after its start a box holds requests until it has the configuration; long enough even
+/// if each of many boxes has to read the store itself. A refusal would cost the caller its only
+/// retry, and the boxes that it would retry at have no configuration either.
+const MAX_STARTUP_WAIT: Duration = Duration::from_millis(1500);
+/// A request waits for the first configuration for the caller's timeout divided by this: the rest
+/// is for serving it, and for a retry after a refusal.
+const STARTUP_WAIT_DIVISOR: u32 = 3;
+
+/// The state of a box, shared by all its requests.
 #[derive(Debug)]
 pub struct Gateway {
     settings: RefCell<Rc<GatewaySettings>>,
     /// The names of the deployment's headers.
     pub headers: Headers,
-    /// What the box knows.
+    /// The box's knowledge: configuration, upstreams, boxes and roll-outs.
     pub knowledge: RefCell<Knowledge>,
-    /// The store's items, to be passed on.
+    /// A copy of the store's items, for other boxes to fetch.
     pub mirror: RefCell<Mirror>,
-    /// How boxes pass on what the store holds.
+    /// How boxes distribute the store's items among themselves.
     pub hubs: Hubs,
-    /// What this box asks the hubs and fetches.
+    /// This box's queries to the hubs, and its fetches.
     pub hub_queries: Asking,
-    /// Rings when the store's items have changed.
+    /// Notified when the box's copy of the store's items has changed.
     pub items_changed: Notify,
-    /// Resting connections to upstreams.
+    /// Idle connections to upstreams.
     pub connections: Connections,
     /// Runs that broke off, whose upstreams may have crashed.
     pub crashes: CrashWatch,
     /// Requests that crash their upstreams.
     pub quarantine: Quarantine,
-    /// Upstreams that have said that they leave, by their hashes, to be told to other boxes.
+    /// Hashes of upstreams that have announced that they leave, to be sent to other boxes.
     pub leaving_upstreams: Outbox<u32>,
-    /// The connections that callers have to this box.
+    /// Connections from callers.
     pub caller_connections: http_server::Connections,
-    /// The budgets of repeats by service; see [`Gateway::with_retry_window`].
+    /// The retry budgets by service; see [`Gateway::with_retry_window`].
     retry_windows: RefCell<HashMap<String, RetryWindow>>,
-    /// The versions of sessions.
+    /// Which version serves each session.
     pub sessions: RefCell<Sessions>,
-    /// When other boxes were heard of.
+    /// When each other box was last heard from.
     pub last_contacts: RefCell<Heard>,
-    /// What was seen of versions under roll-out.
+    /// Observations of versions under roll-out.
     pub versions: RefCell<VersionWatch>,
-    /// How fast engines read prompts.
+    /// How fast engines read prompts, by model.
     pub reading_rates: ReadingRates,
-    /// What the other boxes have under way.
+    /// The load that the other boxes put on upstreams.
     pub peer_loads: RefCell<Loads>,
-    /// Long reads that the other boxes have still to be told of.
+    /// Long prompt reads that have not been announced to the other boxes yet.
     pub long_reads: LongReads,
-    /// Log lines and metrics.
+    /// Logs and metrics.
     pub telemetry: Telemetry,
-    /// The name of this life of the box.
+    /// The name of this run of the box's process: the box's name and its start time.
     pub incarnation: String,
     /// The lease under which the box is registered.
     pub lease: Cell<Option<u64>>,
@@ -123,7 +123,7 @@
 }
 
 impl Gateway {
-    /// Makes a box that knows nothing yet.
+    /// Creates a box that knows nothing yet.
     pub fn new(
         settings: GatewaySettings,
         headers: Headers,
@@ -166,12 +166,12 @@
         self.settings.borrow().clone()
     }
 
-    /// Takes changed settings; addresses stay as they are until the next start.
+    /// Applies changed settings; addresses take effect at the next start.
     pub fn reload(&self, settings: GatewaySettings) {
         *self.settings.borrow_mut() = Rc::new(settings);
     }
 
-    /// Returns how far down a route's rank is among those in force.
+    /// Returns a route's relative rank in the routing table in force, from 0 (most urgent) to 1.
     pub fn relative_rank(&self, route: &Route) -> f64 {
         let knowledge = self.knowledge.borrow();
         let routes = knowledge.routes();
@@ -180,17 +180,18 @@
         })
     }
 
-    /// Returns how long an engine of a service reads so many tokens for a model.
+    /// Returns how long an engine of a service takes to read this many prompt tokens for a model.
     pub fn prompt_reading_time(&self, service: &str, model: Option<&str>, tokens: f64) -> Duration {
         self.with_model_pace(service, model, |pace| self.reading_rates.time(pace, tokens))
     }
 
-    /// Tells whether a model is the dearest of its service, or the only one.
+    /// Returns whether a model is the most expensive one of its service, or the only one.
     pub fn is_most_expensive(&self, service: &str, model: Option<&str>) -> bool {
         self.with_model_pace(service, model, |pace| pace.price_part >= 1.0)
     }
 
-    /// Learns from a first event for which an engine read so many tokens and nothing else.
+    /// Updates a model's reading rate from a first event for which an engine read only this many
+    /// tokens.
     pub fn record_reading_rate(&self, service: &str, model: &str, tokens: f64, took: Duration) {
         self.with_model_pace(service, Some(model), |pace| {
             self.reading_rates.learn(pace, tokens, took);
@@ -201,7 +202,7 @@
         &self,
         service: &str,
         model: Option<&str>,
-        use_it: impl FnOnce(ModelPace<'_>) -> T,
+        f: impl FnOnce(ModelPace<'_>) -> T,
     ) -> T {
         let knowledge = self.knowledge.borrow();
         let engine = knowledge
@@ -212,32 +213,28 @@
             (Some(engine), Some(model)) => engine.relative_price(model),
             _ => 1.0,
         };
-        use_it(ModelPace {
+        f(ModelPace {
             name: model.unwrap_or_default(),
             price_part,
         })
     }
 
-    /// Uses a service's budget of repeats, which begins with the service's first request.
-    pub fn with_retry_window<T>(
-        &self,
-        service: &str,
-        use_it: impl FnOnce(&mut RetryWindow) -> T,
-    ) -> T {
+    /// Gives access to a service's retry budget, which is created with the service's first request.
+    pub fn with_retry_window<T>(&self, service: &str, f: impl FnOnce(&mut RetryWindow) -> T) -> T {
         let mut windows = self.retry_windows.borrow_mut();
         let window = windows
             .entry(service.to_owned())
             .or_insert_with(|| RetryWindow::new(self.settings().bounds.retries));
         window.share_among(self.knowledge.borrow().box_count());
-        use_it(window)
+        f(window)
     }
 
-    /// Waits until this box knows the operators' configuration and a proof of how new it is.
+    /// Waits until this box has the operators' configuration and a proof of how recent it is.
     ///
-    /// News of another box may bring the configuration a little before the proof.
+    /// A message of another box may bring the configuration a little before the proof.
     pub async fn wait_for_first_config(&self) {
         loop {
-            // Made before the look, so that no news in between is missed.
+            // Created before the check, so that no change in between is missed.
             let changed = self.items_changed.notified();
             if self.knowledge.borrow().is_proved() {
                 return;
@@ -246,23 +243,23 @@
         }
     }
 
-    /// Returns how long a request may yet wait for the first configuration: not at all once
-    /// the store has not answered, since that may last.
-    pub fn remaining_startup_wait(&self, waiting: StartupWait, now: Now) -> Duration {
+    /// Returns how much longer a request may wait for the first configuration: not at all once a
+    /// store call has failed, since an outage may last.
+    pub fn remaining_startup_wait(&self, wait: StartupWait, now: Now) -> Duration {
         match self.store_lost_since.get() {
             Some(_) => Duration::ZERO,
-            None => waiting.remaining(self.started_at, now),
+            None => wait.remaining(self.started_at, now),
         }
     }
 
-    /// Returns what this box may say by the configuration that it has.
+    /// Returns what the age of its knowledge allows this box to decide.
     pub fn proof(&self, now: Now) -> Proof {
         let settings = self.settings();
         self.knowledge.borrow().proof(&settings.bounds, now)
     }
 
-    /// Records that everything acknowledged before a moment is known; the first time is news
-    /// to whoever waits for it.
+    /// Records that everything that the store acknowledged before a point in time is known. The
+    /// first time wakes the requests that wait for it.
     pub fn confirm_fresh_as_of(&self, as_of: Duration) {
         let was_proved = self.knowledge.borrow().is_proved();
         self.knowledge.borrow_mut().confirm(as_of);
@@ -271,43 +268,44 @@
         }
     }
 
-    /// Tells whether what the box knows is not older than this.
+    /// Returns whether the box's knowledge is younger than `age`.
     pub fn has_knowledge_within(&self, age: Duration, now: Now) -> bool {
         let known = self.knowledge.borrow().age(now);
         known.is_some_and(|known| known < age)
     }
 
-    /// Tells whether the balancer should send new connections.
+    /// Returns whether the load balancer should send new connections.
     ///
-    /// Old knowledge is no reason against it, also where the box refuses keys for it: all
-    /// boxes of a hall grow old together when the hall is cut off or the store is away, and a
-    /// balancer that finds none of them ready sends their callers across the cut, where they
-    /// wait in vain. A refusal at once, with when to come back, serves them better.
+    /// Stale knowledge does not make a box unready, even if the box refuses keys because of it: if
+    /// the hall is cut off or the store is down, the knowledge of all its boxes becomes stale
+    /// together, and a load balancer that finds none of them ready sends their callers across the
+    /// partition, where they time out. An immediate refusal with a retry delay serves callers
+    /// better.
     pub fn is_ready(&self) -> bool {
         !self.is_stopping() && self.knowledge.borrow().routes().is_some()
     }
 
-    /// Records a call that the store answered.
+    /// Records that the store answered a call.
     pub fn store_answered(&self, now: Now) {
         if let Some(since) = self.store_lost_since.take() {
-            let lost = now.monotonic.saturating_sub(since);
-            log::info!(lost_ms = lost.as_millis() as u64; "the store answers again");
+            let outage = now.monotonic.saturating_sub(since);
+            log::info!(lost_ms = outage.as_millis() as u64; "the store is reachable again");
         }
     }
 
-    /// Records a call that the store did not answer.
+    /// Records that a call to the store failed.
     pub fn store_failed(&self, err: &StoreError, now: Now) {
-        let is_first = self.store_lost_since.get().is_none();
-        if is_first {
+        let is_first_failure = self.store_lost_since.get().is_none();
+        if is_first_failure {
             self.store_lost_since.set(Some(now.monotonic));
         }
-        match is_first {
+        match is_first_failure {
             true => log::warn!("the store is lost: {err}"),
-            false => log::debug!("the store is still away: {err}"),
+            false => log::debug!("the store is still unreachable: {err}"),
         }
     }
 
-    /// Tells whether this box calls the store for others: it is a hub, or nobody is
+    /// Returns whether this box calls the store on behalf of others: it is a hub, or no box is
     /// registered yet.
     pub fn is_hub(&self) -> bool {
         let own = self.settings().peer_addr;
@@ -325,69 +323,69 @@
         addresses.filter(|address| *address != own).collect()
     }
 
-    /// Counts a request in until the guard is dropped.
+    /// Counts a request as in flight until the guard is dropped.
     pub fn track_request(&self) -> InFlightGuard {
         self.in_flight.set(self.in_flight.get() + 1);
         InFlightGuard(self.in_flight.clone())
     }
 
-    /// Returns the requests under way.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.get()
     }
 
-    /// Begins to stop.
+    /// Marks the box as stopping.
     pub fn begin_stopping(&self, now: Now) {
         self.stopping_since.set(Some(now.monotonic));
     }
 
-    /// Returns how long the box has been up.
+    /// Returns how long the process has run.
     pub fn uptime(&self, now: Now) -> Duration {
         now.monotonic.saturating_sub(self.started_at)
     }
 
-    /// Tells whether the process is about to end.
+    /// Returns whether the process is about to exit.
     pub fn is_stopping(&self) -> bool {
         self.stopping_since.get().is_some()
     }
 
-    /// Tells whether a request would perhaps outlast the process.
+    /// Returns whether a request might outlast the process.
     pub fn is_too_late_to_admit(&self, kind: RouteKind, now: Now) -> bool {
         let Some(since) = self.stopping_since.get() else {
             return false;
         };
-        let time_to_end = self.settings().bounds.max_stop_duration();
-        let last = time_to_end.saturating_sub(LAST_TAKEN_BEFORE_END);
-        let last = match kind.stream_gap() {
-            Some(_) => last.min(LONG_REQUESTS_AFTER_STOP),
-            None => last,
+        let stop_duration = self.settings().bounds.max_stop_duration();
+        let admission_end = stop_duration.saturating_sub(NO_ADMISSION_BEFORE_EXIT);
+        let admission_end = match kind.stream_gap() {
+            Some(_) => admission_end.min(STREAM_ADMISSION_AFTER_STOP),
+            None => admission_end,
         };
-        now.monotonic.saturating_sub(since) > last
+        now.monotonic.saturating_sub(since) > admission_end
     }
 }
 
-/// A request that waits for the first configuration.
+/// How long a request may wait for a starting box's first configuration.
 #[derive(Debug, Clone, Copy)]
 pub struct StartupWait {
-    /// When it was received.
+    /// When the request was received.
     pub received: Duration,
-    /// How long its caller waits; none where it does not say.
+    /// The caller's timeout, if it sent one.
     pub caller_timeout: Option<Duration>,
 }
 
 impl StartupWait {
-    /// Returns how long it may yet wait at a box that started at a moment.
+    /// Returns how much longer the request may wait at a box that started at `started_at`.
     pub fn remaining(self, started_at: Duration, now: Now) -> Duration {
-        let of_box = (started_at + FIRST_READ).saturating_sub(now.monotonic);
+        let box_wait = (started_at + MAX_STARTUP_WAIT).saturating_sub(now.monotonic);
         let Some(caller_timeout) = self.caller_timeout else {
-            return of_box;
+            return box_wait;
         };
-        let until = self.received + caller_timeout / PART_FOR_FIRST_READ;
-        of_box.min(until.saturating_sub(now.monotonic))
+        let until = self.received + caller_timeout / STARTUP_WAIT_DIVISOR;
+        box_wait.min(until.saturating_sub(now.monotonic))
     }
 }
 
-/// Counts a request out when it ends, however it ends.
+/// Counts a request as in flight until it is dropped.
 #[derive(Debug)]
 pub struct InFlightGuard(Rc<Cell<u32>>);
 
@@ -397,9 +395,9 @@
     }
 }
 
-/// Runs a box until it is asked to stop and has finished what it had.
+/// Runs a box until it receives the stop signal and has drained.
 ///
-/// `reload` reads the settings again when the operators ask for it.
+/// `reload` reads the settings again on each SIGHUP.
 pub async fn run(
     settings: GatewaySettings,
     headers: Headers,
@@ -419,7 +417,7 @@
     let exchange = messages::exchange(gw.clone(), store.clone());
     actix_rt::spawn(async move {
         if let Err(err) = exchange.await {
-            log::error!("nothing is exchanged with other boxes: {err}");
+            log::error!("cannot exchange messages with other boxes: {err}");
         }
     });
     let settings = gw.settings();
--- a/src/gateway/admit/request.rs
+++ b/src/gateway/admit/request.rs
@@ -290,14 +290,14 @@
         now: Now,
     ) -> Option<Choice> {
         let shared_prefix = self.shared_prefix_key(model);
-        let wish = Wish {
+        let criteria = Wish {
             hall: &gw.settings().hall,
             prompt: self.shared_prompt(gw, shared_prefix.as_deref(), model),
             tried,
             draw: draw(&self.request_id),
             compared: compared(gw.knowledge.borrow().box_count()),
         };
-        choose(candidates, wish, now)
+        choose(candidates, criteria, now)
     }
 
     /// Returns the key of the prompt's shared prefix. It contains the model, since engines cache
--- a/src/gateway/telemetry.rs
+++ b/src/gateway/telemetry.rs
@@ -1,6 +1,6 @@
-//! One line for each decision, and counters and histograms beside it.
+//! The gateway's log lines, one for each decision, and its metrics.
 //!
-//! `docs/OPERATIONS.md` shows how to get from a request's id to the cause of its failure.
+//! `docs/OPERATIONS.md` shows how to find the cause of a failure from a request's id.
 
 use super::admit::request::{AdmittedRequest, AttemptPlan};
 use super::answer::refusal::{Execution, RefusalReason};
@@ -19,16 +19,16 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const LATENCY_BOUNDS: [f64; 12] = [
+const LATENCY_BUCKETS_SECONDS: [f64; 12] = [
     0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 25.0,
 ];
 
-/// What is said of a stream at its end.
+/// The summary of a stream, logged at its end.
 #[derive(Debug, Clone, Copy)]
 pub struct StreamSummary {
-    /// The events that were passed on.
+    /// The number of events that were relayed.
     pub events: usize,
-    /// How many times another upstream went on with it.
+    /// How many times another upstream resumed it.
     pub resumed: u32,
     /// The longest pause between two events.
     pub longest_pause: Duration,
@@ -40,9 +40,9 @@
 #[derive(Debug)]
 pub struct Telemetry {
     latency: Histogram<f64>,
-    answers: Counter<u64>,
+    responses: Counter<u64>,
     refusals: Counter<u64>,
-    tries: Counter<u64>,
+    attempts: Counter<u64>,
     store_calls: Counter<u64>,
     peer_bytes: Counter<u64>,
     received_bytes: Counter<u64>,
@@ -50,30 +50,30 @@
     config_version: Gauge<u64>,
     faulty_upstreams: Gauge<u64>,
     lag: Gauge<u64>,
-    age: Gauge<u64>,
+    knowledge_age: Gauge<u64>,
 }
 
 impl Telemetry {
-    /// Makes the instruments.
+    /// Creates the instruments.
     pub fn new(metrics: &Metrics) -> Self {
         let meter = metrics.meter();
         Self {
             latency: meter
                 .f64_histogram("gatepier_answer_seconds")
-                .with_description("Time from a request to its answer or its first event.")
-                .with_boundaries(LATENCY_BOUNDS.to_vec())
+                .with_description("Time from a request to its response or its first event.")
+                .with_boundaries(LATENCY_BUCKETS_SECONDS.to_vec())
                 .build(),
-            answers: meter
+            responses: meter
                 .u64_counter("gatepier_answers_passed_on")
-                .with_description("Upstreams' answers that were passed on, by status.")
+                .with_description("Upstream responses sent to callers, by status.")
                 .build(),
             refusals: meter
                 .u64_counter("gatepier_final_refusals")
-                .with_description("Requests without an upstream's answer, by reason.")
+                .with_description("Requests refused by the gateway, by reason.")
                 .build(),
-            tries: meter
+            attempts: meter
                 .u64_counter("gatepier_tries")
-                .with_description("Tries at upstreams, by outcome.")
+                .with_description("Attempts at upstreams, by outcome.")
                 .build(),
             store_calls: meter
                 .u64_counter("gatepier_store_calls")
@@ -81,11 +81,11 @@
                 .build(),
             peer_bytes: meter
                 .u64_counter("gatepier_peer_bytes")
-                .with_description("Bytes of datagrams to other boxes, by purpose.")
+                .with_description("Bytes of messages sent to other boxes, by purpose.")
                 .build(),
             received_bytes: meter
                 .u64_counter("gatepier_received_item_bytes")
-                .with_description("Bytes of the store's items that other boxes sent, by way.")
+                .with_description("Bytes of store items received from other boxes, by way.")
                 .build(),
             fetches: meter
                 .u64_counter("gatepier_fetches")
@@ -97,20 +97,20 @@
                 .build(),
             lag: meter
                 .u64_gauge("gatepier_lag_ms")
-                .with_description("How long this box has known of something newer than it has.")
+                .with_description("Time since this box learned of a newer state than it has.")
                 .build(),
             config_version: meter
                 .u64_gauge("gatepier_config_version")
                 .with_description("The version of the configuration in force.")
                 .build(),
-            age: meter
+            knowledge_age: meter
                 .u64_gauge("gatepier_knowledge_age_ms")
-                .with_description("Age of the last proof that nothing newer exists.")
+                .with_description("Age of the last proof that the box's knowledge is current.")
                 .build(),
         }
     }
 
-    /// Records a try.
+    /// Records an attempt at an upstream.
     pub fn record_attempt(
         &self,
         request: &AdmittedRequest,
@@ -123,7 +123,7 @@
             Tried::NotRun(_) => "not-run",
             Tried::Unknown(_) => "unknown",
         };
-        self.tries.add(1, &[KeyValue::new("outcome", outcome)]);
+        self.attempts.add(1, &[KeyValue::new("outcome", outcome)]);
         let upstream = &choice.upstream;
         let listed = upstream.listed();
         log::info!(
@@ -148,7 +148,7 @@
         );
     }
 
-    /// Records that an answer broke off or came too late.
+    /// Records that a response broke off or came too late.
     pub fn record_broken_answer(
         &self,
         request: &AdmittedRequest,
@@ -159,81 +159,83 @@
         log::warn!(
             request = request.request_id.as_str(),
             upstream = instance.as_str();
-            "answer broke off: {reason}"
+            "response interrupted: {reason}"
         );
     }
 
-    /// Records what was found of an upstream where a run broke off.
-    pub fn record_upstream_check(&self, upstream: &Upstream, found: AfterBreak) {
+    /// Records the result of checking an upstream at which a run broke off.
+    pub fn record_upstream_check(&self, upstream: &Upstream, result: AfterBreak) {
         let instance = upstream.with_listed(|listed| listed.instance.clone());
         let upstream = instance.as_str();
-        match found {
+        match result {
             AfterBreak::Crashed => log::warn!(upstream; "the upstream has crashed"),
             AfterBreak::Alive => {
-                log::info!(upstream; "connections were lost, the upstream takes others")
+                log::info!(upstream; "connections were lost, but the upstream accepts new ones")
             }
-            AfterBreak::Unreachable => log::info!(upstream; "the upstream cannot be reached"),
+            AfterBreak::Unreachable => log::info!(upstream; "the upstream is unreachable"),
         }
     }
 
-    /// Records a request that ran at an upstream when it crashed.
+    /// Records a request that was running at an upstream when it crashed.
     pub fn record_request_at_crash(&self, upstream: &Upstream, run: BrokenRun) {
         let instance = upstream.with_listed(|listed| listed.instance.clone());
         log::warn!(
             upstream = instance.as_str(),
             fingerprint = run.request.to_string().as_str(),
             on_trial = run.part == Part::OnTrial;
-            "this request ran at an upstream that crashed"
+            "this request was running at an upstream when it crashed"
         );
     }
 
-    /// Records that an upstream has said in an answer that it leaves, here or to another box.
+    /// Records that an upstream has announced in a response, to this or another box, that it
+    /// leaves.
     pub fn record_leaving_upstream(&self, upstream: &Upstream, source: &str) {
         let instance = upstream.with_listed(|listed| listed.instance.clone());
         let upstream = instance.as_str();
-        log::info!(upstream, source; "the upstream has said that it leaves, nothing more is sent there");
+        log::info!(upstream, source; "the upstream announced that it leaves; sending it no more requests");
     }
 
-    /// Records that a smaller model's answer was dropped.
+    /// Records that a smaller model's answer was dropped to try a larger model.
     pub fn record_escalation(
         &self,
         request: &AdmittedRequest,
-        place: usize,
+        model_index: usize,
         larger: usize,
         confidence: Option<u32>,
     ) {
         log::info!(
             request = request.request_id.as_str(),
-            model = place,
+            model = model_index,
             asked_next = larger,
             confidence = confidence.unwrap_or(0);
-            "a larger model is asked"
+            "retrying with a larger model"
         );
     }
 
-    /// Records that a smaller model's answer is passed on though the model is unsure of it.
+    /// Records that a smaller model's answer is relayed although the model has low confidence in
+    /// it.
     pub fn record_unsure_answer(
         &self,
         request: &AdmittedRequest,
-        place: usize,
+        model_index: usize,
         confidence: Option<u32>,
         reason: &str,
         left: Duration,
     ) {
         log::info!(
             request = request.request_id.as_str(),
-            model = place,
+            model = model_index,
             confidence = confidence.unwrap_or(0),
             left_ms = millis(left);
-            "unsure answer is passed on: {reason}"
+            "relaying an answer of low confidence: {reason}"
         );
     }
 
-    /// Records an answer that is passed on.
+    /// Records the head of a response that is sent to the caller.
     pub fn record_answer(&self, request: &AdmittedRequest, status: u16, now: Now) {
         let took = now.monotonic.saturating_sub(request.received);
         let status_label = KeyValue::new("status", i64::from(status));
-        self.answers.add(1, &[status_label]);
+        self.responses.add(1, &[status_label]);
         let route = KeyValue::new("route", request.route.name.clone());
         self.latency.record(took.as_secs_f64(), &[route]);
         log::info!(
@@ -245,7 +247,7 @@
         );
     }
 
-    /// Records when the first event of a try came.
+    /// Records the time to the first event of an attempt.
     pub fn record_first_event(
         &self,
         request: &AdmittedRequest,
@@ -264,7 +266,7 @@
         );
     }
 
-    /// Records a stream that came to its end.
+    /// Records a stream that was completed.
     pub fn record_stream_end(&self, request: &AdmittedRequest, summary: &StreamSummary) {
         log::info!(
             request = request.request_id.as_str(),
@@ -276,7 +278,7 @@
         );
     }
 
-    /// Records a stream that will have no end.
+    /// Records a stream that was cut before its end.
     pub fn record_stream_cut(&self, request: &AdmittedRequest, events: usize, reason: &str) {
         log::warn!(
             request = request.request_id.as_str(),
@@ -286,30 +288,31 @@
         );
     }
 
-    /// Records a final refusal.
+    /// Records a refusal.
     pub fn record_refusal(
         &self,
         request: &str,
         fingerprint: Option<Fingerprint>,
-        why: RefusalReason,
-        ran: Execution,
+        reason: RefusalReason,
+        execution: Execution,
         age: Option<Duration>,
         took: Duration,
     ) {
-        self.refusals.add(1, &[KeyValue::new("reason", why.name())]);
-        let fingerprint = fingerprint.map(|found| found.to_string());
+        self.refusals
+            .add(1, &[KeyValue::new("reason", reason.name())]);
+        let fingerprint = fingerprint.map(|fingerprint| fingerprint.to_string());
         log::warn!(
             request,
             fingerprint = fingerprint.as_deref().unwrap_or(""),
-            reason = why.name(),
-            may_have_run = ran == Execution::Possible,
+            reason = reason.name(),
+            may_have_run = execution == Execution::Possible,
             knowledge_age_ms = age.map_or(-1, |age| i64::try_from(millis(age)).unwrap_or(-1)),
             took_ms = millis(took);
             "refused"
         );
     }
 
-    /// Records a change of what the box knows.
+    /// Records a change of the box's knowledge.
     pub fn record_change(&self, change: &Change, source: &str, revision: u64) {
         if let Change::Routes(version) = change {
             self.config_version.record(*version, &[]);
@@ -320,21 +323,20 @@
                 item = item.as_str(),
                 source,
                 revision;
-                "cannot be read, the last good state stays in force: {reason}"
+                "cannot be read; keeping the last valid state: {reason}"
             ),
             Change::UpstreamFaulty { instance, reason } => log::error!(
                 upstream = instance.as_str(),
                 source,
                 revision;
-                "its entry cannot be read, the upstream is not used: {reason}"
+                "the entry cannot be read; not using the upstream: {reason}"
             ),
             change => log::info!(source, revision; "learned: {change:?}"),
         }
     }
 
-    /// Records that a version of the configuration came into force: by which way, how large
-    /// it is, how long this box had known that something newer existed, and how old its
-    /// proof of fresh knowledge was.
+    /// Records that a version of the configuration came into force: its source and size, how long
+    /// this box had known that something newer existed, and the age of its proof of freshness.
     pub fn record_config_in_force(
         &self,
         version: u64,
@@ -353,13 +355,13 @@
         );
     }
 
-    /// Counts bytes of items that came from other boxes.
+    /// Counts the bytes of items received from other boxes.
     pub fn count_item_bytes(&self, way: &'static str, bytes: usize) {
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
         self.received_bytes.add(bytes, &[KeyValue::new("way", way)]);
     }
 
-    /// Records how a fetch ended.
+    /// Records the outcome of a fetch from another box.
     pub fn record_fetch(
         &self,
         from: SocketAddr,
@@ -385,22 +387,22 @@
         self.store_calls.add(1, &[KeyValue::new("kind", kind)]);
     }
 
-    /// Counts the bytes of a message to other boxes, those to each box.
+    /// Counts the bytes of messages sent to other boxes, summed over the receivers.
     pub fn count_peer_bytes(&self, purpose: &'static str, bytes: usize) {
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
         self.peer_bytes
             .add(bytes, &[KeyValue::new("purpose", purpose)]);
     }
 
-    /// Records how many upstreams have entries that cannot be read.
+    /// Records the number of upstreams whose entries cannot be read.
     pub fn record_faulty_upstreams(&self, count: usize) {
         let count = u64::try_from(count).unwrap_or(u64::MAX);
         self.faulty_upstreams.record(count, &[]);
     }
 
-    /// Records the age of what is known.
+    /// Records the age of the box's knowledge, and its lag behind a newer state.
     pub fn record_knowledge_age(&self, age: Option<Duration>, lag: Option<Duration>) {
-        self.age.record(age.map_or(u64::MAX, millis), &[]);
+        self.knowledge_age.record(age.map_or(u64::MAX, millis), &[]);
         self.lag.record(lag.map_or(0, millis), &[]);
     }
 }
--- a/tests/gateway/refusals.rs
+++ b/tests/gateway/refusals.rs
@@ -24,7 +24,12 @@
 
 cases! {
     request_that_may_have_run_is_never_reported_as_not_run => {
-        let after_an_attempt = [RefusalReason::NoUpstream, RefusalReason::Full, RefusalReason::Deadline, RefusalReason::UpstreamFailed];
+        let after_an_attempt = [
+            RefusalReason::NoUpstream,
+            RefusalReason::Full,
+            RefusalReason::Deadline,
+            RefusalReason::UpstreamFailed,
+        ];
         for reason in after_an_attempt {
             let status = status(reason, Execution::Possible).as_u16();
             expect_that!(NOT_RUN_STATUSES.contains(&status), eq(false), "{reason:?} gives {status}");
@@ -32,13 +37,25 @@
     }
 
     request_that_ran_nowhere_gets_503 => {
-        for reason in [RefusalReason::NoUpstream, RefusalReason::Full, RefusalReason::Deadline, RefusalReason::Stopping, RefusalReason::Stale] {
+        for reason in [
+            RefusalReason::NoUpstream,
+            RefusalReason::Full,
+            RefusalReason::Deadline,
+            RefusalReason::Stopping,
+            RefusalReason::Stale,
+        ] {
             expect_that!(status(reason, Execution::Never).as_u16(), eq(503));
         }
     }
 
     temporary_refusals_carry_retry_after => {
-        for reason in [RefusalReason::NoConfiguration, RefusalReason::Full, RefusalReason::NoUpstream, RefusalReason::Stale, RefusalReason::Stopping] {
+        for reason in [
+            RefusalReason::NoConfiguration,
+            RefusalReason::Full,
+            RefusalReason::NoUpstream,
+            RefusalReason::Stale,
+            RefusalReason::Stopping,
+        ] {
             let response = response(reason, Execution::Never);
             expect_that!(response.headers().contains_key("retry-after"), eq(true), "{reason:?}");
         }
