--- /dev/null
+++ b/src/gateway/admit/request.rs
@@ -0,0 +1,486 @@
+//! An admitted request, and its attempts at upstreams.
+
+use super::prompt::Prompt;
+use super::routes::{Organisation, Route};
+use crate::clock::Now;
+use crate::crash_ledger::{Part, Standing};
+use crate::fingerprint::Fingerprint;
+use crate::gateway::Gateway;
+use crate::gateway::answer::refusal::Execution;
+use crate::gateway::attempt::connect::http1_types;
+use crate::gateway::attempt::crash_detection::InterruptedRun;
+use crate::gateway::attempt::exchange::{
+    NotRunReason, TryOptions, TryOutcome, UnknownReason, UpstreamRequest, try_upstream,
+};
+use crate::gateway::attempt::headers::{ANY_MODEL, urgency};
+use crate::gateway::attempt::response_timeout::ResponseTimeout;
+use crate::gateway::attempt::retries::RetryReason;
+use crate::gateway::attempt::tries::TryHistory;
+use crate::gateway::attempt::upstream::Upstream;
+use crate::gateway::control::store::UpstreamLife;
+use crate::gateway::place::cache_affinity::CacheReplication;
+use crate::gateway::place::candidates::BackOff;
+use crate::gateway::place::choose::{
+    PlacementChoice, PlacementParams, choose_for_trial, choose_placement, engines_to_compare,
+    stable_hash,
+};
+use crate::gateway::place::engine_cost::{PrefixSource, SharedPrompt};
+use crate::gateway::place::escalation::ExpectedFirstEvent;
+use crate::gateway::place::prefill_rate;
+use crate::gateway::versions::local_statistics::ResponseTimer;
+use bytes::Bytes;
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// How much earlier than the router an upstream has to give up, so that its own final response
+/// still gets through.
+const DEADLINE_MARGIN: Duration = Duration::from_millis(20);
+
+/// A request that ran nowhere is retried for the latency objective divided by this, then refused; a
+/// later refusal helps the caller less than waiting on.
+const RETRY_OBJECTIVE_DIVISOR: u32 = 4;
+
+/// A request that was admitted, and the state of its attempts.
+#[derive(Debug)]
+pub struct AdmittedRequest {
+    /// The id that the caller gave this send of the request.
+    pub request_id: String,
+    /// Identifies the request across sends: a repeated send has the same fingerprint.
+    pub fingerprint: Fingerprint,
+    /// The route that it matched.
+    pub route: Arc<Route>,
+    /// The version of the configuration that the route belongs to.
+    pub config_version: u64,
+    /// The service that the route selected.
+    pub service: String,
+    /// The organisation that sent it, on routes that require a key.
+    pub organisation: Option<Organisation>,
+    /// The method.
+    pub method: http1_types::Method,
+    /// The path with its query.
+    pub target: String,
+    /// The caller's headers that are forwarded.
+    pub headers: http1_types::HeaderMap,
+    /// The whole body.
+    pub body: Bytes,
+    /// When the request head had been received.
+    pub received: Duration,
+    /// The deadline: the caller's, or the route's if that is earlier.
+    pub deadline: Duration,
+    /// The prompt, on routes to model engines.
+    pub prompt: Prompt,
+    /// The id of the session, or the request's own id if it belongs to none.
+    pub session_id: String,
+    /// Whether the caller leaves the choice of the model to the router.
+    pub router_chooses_model: bool,
+    /// The attempts so far, and what they prove.
+    pub tries: TryHistory,
+    /// Its trial, if it may have crashed upstreams.
+    pub trial: Cell<QuarantineTrial>,
+    /// The latency measurement of a buffered response, while one runs.
+    pub timing: RefCell<Option<ResponseTimer>>,
+}
+
+/// The trial of a request that ran at several upstreams when they crashed: it may run once more.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
+pub enum QuarantineTrial {
+    /// It is not on trial.
+    #[default]
+    None,
+    /// The trial run is allowed and has not ended.
+    Open,
+    /// The trial run ended without a response; whether its upstream crashed is being checked.
+    Finished,
+}
+
+/// The parameters of one attempt, beyond the request itself.
+#[derive(Debug, Clone, Copy)]
+pub struct AttemptPlan<'a> {
+    /// The model to request, where the router chooses it.
+    pub model: Option<&'a str>,
+    /// The id of the last event that the caller has, where a stream is resumed.
+    pub resume_after: Option<&'a str>,
+    /// How long to wait for the response head.
+    pub head_wait: ResponseTimeout,
+    /// The kind of retry that this is, if the request was sent before.
+    pub retry_kind: RetryReason,
+}
+
+/// Why no attempt was made.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum NoAttempt {
+    /// No upstream is left to try.
+    NoUpstream,
+    /// No upstream accepts requests of this box now; the pause lasts until the first one does.
+    Paused(BackOff),
+    /// Operators have evacuated the halls of all upstreams.
+    Evacuated,
+    /// The retry budget does not allow another send.
+    OutOfBudget,
+    /// The deadline has passed, or is too close.
+    OutOfTime,
+    /// The request crashes the upstreams that run it.
+    Quarantined,
+    /// The request may have crashed upstreams, and another send of it is on trial for at most this
+    /// long.
+    OnTrial(Duration),
+}
+
+impl AdmittedRequest {
+    /// Returns the time until the deadline.
+    pub fn time_left(&self, now: Now) -> Duration {
+        self.deadline.saturating_sub(now.monotonic)
+    }
+
+    /// Returns whether the route allows one more run, given what has already run.
+    pub fn may_run_again(&self) -> bool {
+        let repeatable = self.route.kind.is_repeatable() || self.tries.ran() == Execution::Never;
+        repeatable && self.tries.possible_runs() < self.route.max_attempts.max(1)
+    }
+
+    /// Returns whether another upstream could be tried now: the route, what has already run and the
+    /// retry budget allow it. Otherwise a slow response is not abandoned.
+    pub fn can_retry(&self, gw: &Gateway, now: Now) -> bool {
+        let has_room = gw.with_retry_window(&self.service, |window| {
+            window.has_budget(RetryReason::Failure, now)
+        });
+        has_room && self.may_run_again()
+    }
+
+    /// Returns whether the next run is the last one that the route allows, so that abandoning it
+    /// would end the request.
+    pub fn is_last_run(&self) -> bool {
+        self.tries.possible_runs() + 1 >= self.route.max_attempts.max(1)
+    }
+
+    /// Returns whether a request that no upstream accepted should be retried after a pause rather
+    /// than refused.
+    pub fn should_wait_for_upstream(&self, gw: &Gateway, pause: Duration, now: Now) -> bool {
+        self.can_wait(pause, now)
+            && !gw
+                .candidates(&self.service, &self.session_id, now)
+                .is_empty()
+    }
+
+    /// Returns whether the request would still be within its retry window after a pause.
+    pub fn can_wait(&self, pause: Duration, now: Now) -> bool {
+        let waited = now.monotonic.saturating_sub(self.received);
+        self.may_run_again()
+            && waited + pause < self.route.latency_objective / RETRY_OBJECTIVE_DIVISOR
+    }
+
+    /// Chooses an upstream and makes one attempt there.
+    ///
+    /// If an earlier attempt reached an upstream, this one is a retry, which the budget has to
+    /// allow.
+    pub async fn run_attempt(
+        &self,
+        gw: &Gateway,
+        plan: AttemptPlan<'_>,
+    ) -> Result<TryOutcome, NoAttempt> {
+        let now = Now::read();
+        let left = self.time_left(now);
+        if left <= DEADLINE_MARGIN {
+            return Err(NoAttempt::OutOfTime);
+        }
+        self.check_quarantine(gw, now)?;
+        let mut candidates = gw.candidates(&self.service, &self.session_id, now);
+        let tried = self.tries.tried_upstreams();
+        if self.is_on_trial() {
+            let seed = stable_hash(&self.fingerprint.to_string());
+            let chosen = choose_for_trial(&candidates, &tried, seed, now);
+            candidates = chosen.into_iter().collect();
+        }
+        let choice = self.choose_upstream(gw, &candidates, &tried, plan.model, now);
+        let choice = choice.ok_or_else(|| self.no_upstream_reason(gw, now))?;
+        let upstream = &choice.upstream;
+        if !self.charge_retry_budget(gw, plan.retry_kind, now) {
+            return Err(NoAttempt::OutOfBudget);
+        }
+        self.tries.exclude_upstream(upstream);
+        upstream.record_warm_up_send(now);
+        let limits = TryOptions {
+            head_timeout: plan.head_wait.capped_at(left),
+            prefill: choice.prefill,
+            measures_prefill_rate: choice.measures_prefill_rate(),
+            may_reuse_connection: self.route.kind.is_repeatable(),
+        };
+        gw.long_reads
+            .push_if_long(&gw.incarnation, upstream, limits.prefill);
+        let outgoing = self.build_outgoing(gw, &choice, plan, now);
+        let timing = gw.start_response_timer(self, &choice, now);
+        let tried = try_upstream(&gw.connections, &gw.headers, upstream, outgoing, limits).await;
+        match self.route.kind.stream_gap() {
+            Some(_) => gw.record_head(&tried, timing, Now::read()),
+            None => *self.timing.borrow_mut() = timing,
+        }
+        self.record_attempt(gw, &choice, &tried, plan);
+        Ok(tried)
+    }
+
+    /// Returns why no upstream can be tried.
+    fn no_upstream_reason(&self, gw: &Gateway, now: Now) -> NoAttempt {
+        if gw.is_evacuated(&self.service) {
+            return NoAttempt::Evacuated;
+        }
+        let pause = gw.shortest_back_off(&self.service, &self.session_id, now);
+        pause.map_or(NoAttempt::NoUpstream, NoAttempt::Paused)
+    }
+
+    /// Decides whether a request that may have crashed upstreams may be sent; begins its trial if
+    /// it has to prove itself.
+    fn check_quarantine(&self, gw: &Gateway, now: Now) -> Result<(), NoAttempt> {
+        match (
+            gw.quarantine.standing(self.fingerprint, now),
+            self.trial.get(),
+        ) {
+            (Standing::Clear, _) => Ok(()),
+            (Standing::Quarantined, _) => Err(NoAttempt::Quarantined),
+            // This request holds the trial, and no upstream has run it yet.
+            (Standing::Suspect | Standing::OnTrial(_), QuarantineTrial::Open) => Ok(()),
+            (Standing::Suspect, QuarantineTrial::None | QuarantineTrial::Finished) => {
+                gw.quarantine.begin_trial(self.fingerprint, now);
+                self.trial.set(QuarantineTrial::Open);
+                Ok(())
+            }
+            (Standing::OnTrial(left), QuarantineTrial::None | QuarantineTrial::Finished) => {
+                Err(NoAttempt::OnTrial(left))
+            }
+        }
+    }
+
+    /// Returns whether the request is on trial because upstreams crashed while they ran it.
+    pub fn is_on_trial(&self) -> bool {
+        self.trial.get() == QuarantineTrial::Open
+    }
+
+    /// Records that a run of the request broke off, which ends its trial.
+    pub fn record_broken_run(&self, gw: &Gateway, upstream: &Rc<Upstream>, now: Now) {
+        let part = match self.is_on_trial() {
+            true => Part::OnTrial,
+            false => Part::Present,
+        };
+        let run = InterruptedRun {
+            request: self.fingerprint,
+            part,
+        };
+        gw.record_interrupted_run(run, upstream, now);
+        self.finish_trial();
+    }
+
+    /// Gives up a trial that was never run, so that another send of the request can take it.
+    pub fn release_trial(&self, gw: &Gateway, now: Now) {
+        if self.is_on_trial() {
+            gw.quarantine.end_trial(self.fingerprint, now);
+        }
+    }
+
+    fn finish_trial(&self) {
+        if self.is_on_trial() {
+            self.trial.set(QuarantineTrial::Finished);
+        }
+    }
+
+    /// Chooses the upstream that an attempt with a model would go to.
+    fn choose_upstream(
+        &self,
+        gw: &Gateway,
+        candidates: &[Rc<Upstream>],
+        tried: &[UpstreamLife],
+        model: Option<&str>,
+        now: Now,
+    ) -> Option<PlacementChoice> {
+        let shared_prefix = self.shared_prefix_key(model);
+        let criteria = PlacementParams {
+            hall: &gw.settings().hall,
+            prompt: self.shared_prompt(gw, shared_prefix.as_deref(), model),
+            tried,
+            seed: stable_hash(&self.request_id),
+            engines_to_compare: engines_to_compare(gw.knowledge.borrow().box_count()),
+        };
+        choose_placement(candidates, criteria, now)
+    }
+
+    /// Returns the key of the prompt's shared prefix. It contains the model, since engines cache
+    /// what they have read by model.
+    fn shared_prefix_key(&self, model: Option<&str>) -> Option<String> {
+        let part = self.prompt.shared_part_id.as_ref()?;
+        Some(format!("{part} {}", model.unwrap_or_default()))
+    }
+
+    fn shared_prompt<'a>(
+        &self,
+        gw: &Gateway,
+        shared_prefix: Option<&'a str>,
+        model: Option<&str>,
+    ) -> Option<SharedPrompt<'a>> {
+        let all_tokens = self.prompt.weighted_tokens();
+        let shared_tokens = self.prompt.shared_tokens as f64;
+        let time = |tokens: f64| gw.prompt_reading_time(&self.service, model, tokens);
+        Some(SharedPrompt {
+            prefix_key: shared_prefix?,
+            replication: match gw.is_most_expensive(&self.service, model) {
+                true => CacheReplication::OneEngine,
+                false => CacheReplication::OneEnginePerHall,
+            },
+            full_prefill: time(all_tokens),
+            suffix_prefill: time(all_tokens - shared_tokens),
+            shared_tokens,
+            request_bytes: self.body.len(),
+        })
+    }
+
+    /// Returns the expected time from now until a model's first event.
+    pub fn expected_first_event(
+        &self,
+        gw: &Gateway,
+        model: Option<&str>,
+        now: Now,
+    ) -> ExpectedFirstEvent {
+        let candidates = gw.candidates(&self.service, &self.session_id, now);
+        self.expected_among_candidates(gw, &candidates, model, now)
+    }
+
+    fn expected_among_candidates(
+        &self,
+        gw: &Gateway,
+        candidates: &[Rc<Upstream>],
+        model: Option<&str>,
+        now: Now,
+    ) -> ExpectedFirstEvent {
+        let choice = self.choose_upstream(gw, candidates, &[], model, now);
+        let (ahead, reading) = choice.map_or((Duration::ZERO, Duration::ZERO), |choice| {
+            (choice.queue_wait, choice.prefill)
+        });
+        ExpectedFirstEvent {
+            total: prefill_rate::FIRST_EVENT_OVERHEAD + ahead + reading,
+            queue_wait: ahead,
+        }
+    }
+
+    /// Returns the expected time from now until each model's first event.
+    pub fn expected_first_events(
+        &self,
+        gw: &Gateway,
+        models: &[String],
+        now: Now,
+    ) -> Vec<ExpectedFirstEvent> {
+        let candidates = gw.candidates(&self.service, &self.session_id, now);
+        let expected =
+            |model: &String| self.expected_among_candidates(gw, &candidates, Some(model), now);
+        models.iter().map(expected).collect()
+    }
+
+    /// Returns the time left until the route's latency objective is missed.
+    pub fn objective_left(&self, now: Now) -> Duration {
+        let elapsed = now.monotonic.saturating_sub(self.received);
+        self.route.latency_objective.saturating_sub(elapsed)
+    }
+
+    /// Charges the retry budget for an attempt; false if the budget does not allow it.
+    ///
+    /// The first attempt is free, and adds to the budget once.
+    fn charge_retry_budget(&self, gw: &Gateway, retry_kind: RetryReason, now: Now) -> bool {
+        gw.with_retry_window(&self.service, |window| {
+            if self.tries.sent_count() > 0 {
+                return window.try_spend(retry_kind, now);
+            }
+            if self.tries.count_first_once() {
+                window.record_first(now);
+            }
+            true
+        })
+    }
+
+    fn record_attempt(
+        &self,
+        gw: &Gateway,
+        choice: &PlacementChoice,
+        tried: &TryOutcome,
+        plan: AttemptPlan<'_>,
+    ) {
+        self.tries.record(tried);
+        if choice.upstream.is_leaving() {
+            gw.note_upstream_leaving(&choice.upstream, Now::read());
+        }
+        if matches!(tried, TryOutcome::NotRun(NotRunReason::OtherInstance)) {
+            gw.knowledge
+                .borrow_mut()
+                .remove_upstream(choice.upstream.life());
+        }
+        match tried {
+            TryOutcome::Unknown(UnknownReason::ConnectionBroken(_)) => {
+                self.record_broken_run(gw, &choice.upstream, Now::read());
+            }
+            TryOutcome::Unknown(_) => self.finish_trial(),
+            TryOutcome::Answered(_) | TryOutcome::NotRun(_) => {}
+        }
+        gw.telemetry.record_attempt(self, choice, tried, plan);
+    }
+
+    fn build_outgoing(
+        &self,
+        gw: &Gateway,
+        choice: &PlacementChoice,
+        plan: AttemptPlan<'_>,
+        now: Now,
+    ) -> UpstreamRequest {
+        let names = &gw.headers;
+        let mut headers = self.headers.clone();
+        let mut set = |name: &http::HeaderName, value: &str| {
+            let name = hyper::header::HeaderName::from_bytes(name.as_str().as_bytes());
+            let value = hyper::header::HeaderValue::from_str(value);
+            match (name, value) {
+                (Ok(name), Ok(value)) => {
+                    headers.insert(name, value);
+                }
+                _ => log::error!(request = self.request_id.as_str(); "cannot set a header"),
+            }
+        };
+        let left = self.time_left(now).saturating_sub(DEADLINE_MARGIN);
+        set(&names.deadline, &left.as_millis().to_string());
+        set(&names.expect_instance, &choice.upstream.life().instance);
+        if let PrefixSource::Fetched(keeper) = choice.prefix_source {
+            set(&names.fetch_from, &keeper.to_string());
+        }
+        if let Some(organisation) = &self.organisation {
+            set(&names.organisation, &organisation.name);
+        }
+        if self.route.kind.stream_gap().is_some() {
+            let rank = self.organisation.as_ref().map_or(0, |found| found.priority);
+            let urgency = urgency(rank, self.route.priority, choice.prefill);
+            set(&names.urgency, &urgency.to_string());
+        }
+        if let Some(model) = plan.model {
+            set(&names.model, model);
+        }
+        if let Some(event) = plan.resume_after {
+            set(&names.last_event_id, event);
+        }
+        UpstreamRequest {
+            method: self.method.clone(),
+            target: self.target.clone(),
+            headers,
+            body: self.body.clone(),
+            request_id: self.request_id.clone(),
+        }
+    }
+}
+
+/// Returns whether a model header leaves the choice of the model to the router.
+pub fn lets_router_choose(model: Option<&str>) -> bool {
+    model == Some(ANY_MODEL)
+}
+
+impl TryOutcome {
+    /// Describes the outcome of the attempt for the log.
+    pub fn describe(&self) -> String {
+        match self {
+            Self::Answered(answer) => format!("answered {}", answer.status),
+            Self::NotRun(reason) => reason.to_string(),
+            Self::Unknown(failure) => failure.to_string(),
+        }
+    }
+}
--- a/src/gateway/attempt/crash_detection.rs
+++ b/src/gateway/attempt/crash_detection.rs
@@ -134,7 +134,7 @@
             return;
         }
         for run in runs {
-            self.telemetry.ran_at_crash(upstream, *run);
+            self.telemetry.record_request_at_crash(upstream, *run);
             let life = upstream.short_hash();
             self.quarantine
                 .record_crash(life, run.request, run.part, now);
@@ -164,7 +164,7 @@
     if let Ok(connection) = opened {
         gw.connections.release(upstream.life(), connection, now);
     }
-    gw.telemetry.checked_after_break(&upstream, found);
+    gw.telemetry.record_upstream_check(&upstream, found);
     for run in gw.crashes.finish_check(upstream.life(), found) {
         if run.part == Part::OnTrial {
             gw.quarantine.end_trial(run.request, now);
--- a/src/gateway/attempt/tries.rs
+++ b/src/gateway/attempt/tries.rs
@@ -2,7 +2,7 @@
 
 use super::exchange::{NotRunReason, TryOutcome};
 use super::upstream::Upstream;
-use crate::gateway::answer::refusal::{Ran, Why};
+use crate::gateway::answer::refusal::{Execution, RefusalReason};
 use crate::gateway::control::store::UpstreamLife;
 use std::cell::{Cell, RefCell};
 
@@ -60,19 +60,19 @@
     }
 
     /// Returns whether the request may have run anywhere.
-    pub fn ran(&self) -> Ran {
+    pub fn ran(&self) -> Execution {
         match self.may_have_run.get() {
-            true => Ran::Perhaps,
-            false => Ran::Nowhere,
+            true => Execution::Possible,
+            false => Execution::Never,
         }
     }
 
     /// Returns why there is no upstream left to try: they refused the request, or there was none.
-    pub fn exhausted_reason(&self) -> Why {
+    pub fn exhausted_reason(&self) -> RefusalReason {
         match (self.ran(), self.refused.get()) {
-            (Ran::Perhaps, _) => Why::UpstreamFailed,
-            (Ran::Nowhere, true) => Why::Full,
-            (Ran::Nowhere, false) => Why::NoUpstream,
+            (Execution::Possible, _) => RefusalReason::UpstreamFailed,
+            (Execution::Never, true) => RefusalReason::Full,
+            (Execution::Never, false) => RefusalReason::NoUpstream,
         }
     }
 
--- a/src/gateway/control/initial_sync.rs
+++ b/src/gateway/control/initial_sync.rs
@@ -169,7 +169,7 @@
     fn plan(&self, gw: &Gateway) -> SyncPlan {
         let settings = gw.settings();
         let own = StartingBox {
-            address: settings.peers,
+            address: settings.peer_addr,
             link_mbps: settings.link_mbps,
         };
         let boxes = self.boxes.iter().map(|known| &known.entry);
@@ -181,7 +181,7 @@
 pub async fn read_hall(gw: &Gateway, store: &dyn ControlStore) -> Option<HallBoxes> {
     let settings = gw.settings();
     let sent = Now::read();
-    gw.telemetry.store_called("hall");
+    gw.telemetry.count_store_call("hall");
     match store.read_hall(&settings.hall).await {
         Ok(boxes) => {
             let now = Now::read();
@@ -263,7 +263,8 @@
     snapshot: &Snapshot,
     sent_at: Now,
 ) -> bool {
-    gw.telemetry.received("first", snapshot.changes.len());
+    gw.telemetry
+        .count_item_bytes("first", snapshot.changes.len());
     let as_of = snapshot.as_of(sent_at);
     let unpacked = gw.mirror.borrow().unpack(snapshot.changes.clone());
     let changes = match unpacked {
@@ -272,7 +273,7 @@
     };
     apply_changes(gw, store, changes, "first");
     if let Some(as_of) = as_of {
-        gw.confirm(as_of);
+        gw.confirm_fresh_as_of(as_of);
     }
     gw.knowledge.borrow().routes().is_some()
 }
--- a/src/gateway/control/membership.rs
+++ b/src/gateway/control/membership.rs
@@ -33,7 +33,7 @@
     }
     let entry = BoxEntry::of(&gw);
     while !gw.is_stopping() {
-        gw.telemetry.store_called("register");
+        gw.telemetry.count_store_call("register");
         match store.register(&entry, LEASE_TTL).await {
             Ok(lease) => {
                 log::info!(lease, box_name = entry.name.as_str(); "registered");
@@ -48,7 +48,7 @@
 }
 
 async fn take_over_registration(gw: &Gateway, store: &dyn ControlStore, previous: RegisteredBox) {
-    gw.telemetry.store_called("renew");
+    gw.telemetry.count_store_call("renew");
     match store.renew(previous.lease).await {
         Ok(true) => {
             let (lease, name) = (previous.lease, previous.entry.name.as_str());
@@ -73,9 +73,9 @@
     pub fn of(gw: &Gateway) -> Self {
         let settings = gw.settings();
         Self {
-            name: gw.life.clone(),
+            name: gw.incarnation.clone(),
             hall: settings.hall.clone(),
-            address: settings.peers,
+            address: settings.peer_addr,
             link_mbps: settings.link_mbps,
             registered: 0,
         }
@@ -89,7 +89,7 @@
         if gw.is_stopping() {
             return;
         }
-        gw.telemetry.store_called("renew");
+        gw.telemetry.count_store_call("renew");
         match store.renew(lease).await {
             Ok(true) => {}
             Ok(false) => return,
@@ -111,10 +111,10 @@
 /// Boxes are compared by address and not by process, so that a restarted leader leads again at once
 /// instead of waiting for the lease of its previous process to expire.
 pub fn leadership_rank(gw: &Gateway, now: Now) -> Option<usize> {
-    let own = gw.settings().peers;
+    let own = gw.settings().peer_addr;
     let state = gw.knowledge.borrow();
     let boxes = state.boxes_by_registration();
-    let live = gw.heard.borrow().live_boxes(&boxes, own, now);
+    let live = gw.last_contacts.borrow().live_boxes(&boxes, own, now);
     let sees_majority = live.len() * 2 > boxes.len();
     let rank = live.iter().position(|entry| entry.address == own);
     rank.filter(|_| sees_majority)
--- a/src/gateway/control/state.rs
+++ b/src/gateway/control/state.rs
@@ -324,14 +324,14 @@
     /// Returns how fresh the configuration is.
     pub fn freshness(&self, bounds: &Bounds, now: Now) -> ConfigFreshness {
         let lag = self.lag(now);
-        if lag.is_some_and(|lag| lag > bounds.longest_lag()) {
+        if lag.is_some_and(|lag| lag > bounds.max_config_lag()) {
             return ConfigFreshness::Outdated;
         }
         let is_younger = |than: Duration| self.age(now).is_some_and(|age| age < than);
-        if lag.is_none() && is_younger(bounds.denial_lifetime()) {
+        if lag.is_none() && is_younger(bounds.max_denial_proof_age()) {
             return ConfigFreshness::Current;
         }
-        match is_younger(bounds.key_lifetime()) {
+        match is_younger(bounds.max_key_proof_age()) {
             true => ConfigFreshness::KeysValid,
             false => ConfigFreshness::Unconfirmed,
         }
--- a/src/gateway/peers/fetch.rs
+++ b/src/gateway/peers/fetch.rs
@@ -272,7 +272,7 @@
             (SNAPSHOT_PATH, None) => serve_snapshot(gw).await?,
             _ => return Err(WireError::NoAnswer("unknown path or query".to_owned())),
         };
-        gw.telemetry.told_boxes("items", answer.len());
+        gw.telemetry.count_peer_bytes("items", answer.len());
         let mut body = respond
             .send_response(head, false)
             .map_err(connection_lost)?;
@@ -323,7 +323,7 @@
 /// Responds to a starting box as soon as this box has state itself.
 async fn serve_snapshot(gw: &Gateway) -> Result<(http::Response<()>, Bytes), WireError> {
     let received_at = Now::read();
-    timeout(FIRST_STATE_TIMEOUT, gw.await_first_knowledge())
+    timeout(FIRST_STATE_TIMEOUT, gw.wait_for_first_config())
         .await
         .map_err(|_elapsed| no_answer("this box has no state yet"))?;
     let now = Now::read();
--- a/src/gateway/peers/hub_poller.rs
+++ b/src/gateway/peers/hub_poller.rs
@@ -115,9 +115,9 @@
 pub async fn poll_hubs(gw: &Gateway, send: impl AsyncFn(SocketAddr, PollRequest)) {
     let mut offset = 0;
     loop {
-        await_next_poll(&gw.asking).await;
+        await_next_poll(&gw.hub_queries).await;
         let now = Now::read();
-        if gw.is_hub() && gw.knows_within(MAX_HUB_STATE_AGE, now) {
+        if gw.is_hub() && gw.has_knowledge_within(MAX_HUB_STATE_AGE, now) {
             continue;
         }
         let Some(hub) = next_poll_target(gw, &mut offset, now) else {
@@ -126,13 +126,13 @@
         let poll = PollRequest {
             after: gw.mirror.borrow().revision(),
             sent_micros: u64::try_from(now.monotonic.as_micros()).unwrap_or(u64::MAX),
-            fetching: gw.asking.fetch_status.get(),
+            fetching: gw.hub_queries.fetch_status.get(),
         };
         if poll.fetching != FetchStatus::InProgress {
             // A failure is reported once; the next hub may know of no other sender.
-            gw.asking.fetch_status.set(FetchStatus::None);
+            gw.hub_queries.fetch_status.set(FetchStatus::None);
         }
-        gw.asking.record_poll(hub, now);
+        gw.hub_queries.record_poll(hub, now);
         send(hub, poll).await;
     }
 }
@@ -159,10 +159,10 @@
     let is_hub = |entry: &&BoxEntry| candidates.iter().any(|hub| hub.address == entry.address);
     others.retain(|entry| !is_hub(entry));
     candidates.extend(others.into_iter().take(FALLBACK_BOXES));
-    candidates.retain(|entry| entry.address != settings.peers);
+    candidates.retain(|entry| entry.address != settings.peer_addr);
     let preferred = candidates
         .iter()
-        .find(|entry| gw.asking.is_preferred(entry.address, now));
+        .find(|entry| gw.hub_queries.is_preferred(entry.address, now));
     if let Some(entry) = preferred {
         return Some(entry.address);
     }
@@ -181,7 +181,7 @@
     let now = Now::read();
     let age = Duration::from_millis(update.age_ms);
     if update.sent_micros.is_some() {
-        gw.asking.record_response(hub, age, now);
+        gw.hub_queries.record_response(hub, age, now);
     }
     let own = gw.mirror.borrow().revision();
     if update.revision > own {
@@ -195,11 +195,11 @@
         // lacks.
         return;
     }
-    gw.telemetry.received("hub", update.changes.len());
+    gw.telemetry.count_item_bytes("hub", update.changes.len());
     let unpacked = gw.mirror.borrow().unpack(update.changes);
     match (unpacked, update.remainder) {
         (Ok(changes), None) => {
-            gw.asking.unpack_failures.set(0);
+            gw.hub_queries.unpack_failures.set(0);
             apply_changes(gw, &**store, changes, "hub");
         }
         (Ok(changes), Some(source)) => {
@@ -208,7 +208,7 @@
         }
         (Err(err), _) => {
             record_unpack_failure(gw, &err, hub);
-            if gw.asking.wants_full_values() {
+            if gw.hub_queries.wants_full_values() {
                 start_fetch(gw, store, FetchSource::Hub, hub);
             }
         }
@@ -217,16 +217,16 @@
         && gw.mirror.borrow().revision() >= update.revision
         && let Some(as_of) = Duration::from_micros(sent_micros).checked_sub(age)
     {
-        gw.confirm(as_of);
+        gw.confirm_fresh_as_of(as_of);
     }
 }
 
 /// Records that an update could not be unpacked, and schedules the next poll soon.
 fn record_unpack_failure(gw: &Gateway, err: &UnpackError, from: SocketAddr) {
-    gw.asking
+    gw.hub_queries
         .unpack_failures
-        .set(gw.asking.unpack_failures.get() + 1);
-    gw.asking.poll_again_soon();
+        .set(gw.hub_queries.unpack_failures.get() + 1);
+    gw.hub_queries.poll_again_soon();
     let reason = err.to_string();
     log::warn!(from = from.to_string().as_str(), reason = reason.as_str(); "received items are unusable, the known state stays in force");
 }
@@ -238,28 +238,28 @@
     source: FetchSource,
     hub: SocketAddr,
 ) {
-    if gw.asking.is_fetching() {
+    if gw.hub_queries.is_fetching() {
         return;
     }
     let from = match source {
         FetchSource::Hub => hub,
         FetchSource::Peer(address) => address,
         FetchSource::RetryLater => {
-            gw.asking.poll_again_soon();
+            gw.hub_queries.poll_again_soon();
             return;
         }
     };
-    gw.asking.fetch_status.set(FetchStatus::InProgress);
+    gw.hub_queries.fetch_status.set(FetchStatus::InProgress);
     let (gw, store) = (gw.clone(), store.clone());
     actix_rt::spawn(async move {
         let is_applied = fetch_and_apply(&gw, &*store, from).await;
-        gw.asking.fetch_status.set(match is_applied {
+        gw.hub_queries.fetch_status.set(match is_applied {
             true => FetchStatus::None,
             false => FetchStatus::Failed(source),
         });
         // The next poll tells the hub that the sender is free, and confirms that the state is
         // current.
-        gw.asking.poll_now.notify_one();
+        gw.hub_queries.poll_now.notify_one();
     });
 }
 
@@ -268,18 +268,18 @@
     let started_at = Now::read();
     let request = FetchRequest {
         after: gw.mirror.borrow().revision(),
-        full_values: gw.asking.wants_full_values(),
+        full_values: gw.hub_queries.wants_full_values(),
     };
     let progress = FetchProgress::default();
     let fetched = fetch(from, request, &progress).await;
-    gw.telemetry.received("fetch", progress.bytes());
+    gw.telemetry.count_item_bytes("fetch", progress.bytes());
     let outcome = match fetched {
         Ok(packed) => apply_fetched(gw, store, packed),
         Err(err) => Err(FetchError::TransferFailed(err)),
     };
     let elapsed = Now::read().monotonic.saturating_sub(started_at.monotonic);
     gw.telemetry
-        .fetched(from, &outcome, progress.bytes(), elapsed);
+        .record_fetch(from, &outcome, progress.bytes(), elapsed);
     if let Err(FetchError::UnpackFailed(err)) = &outcome {
         record_unpack_failure(gw, err, from);
     }
@@ -335,7 +335,7 @@
         .borrow()
         .unpack(packed)
         .map_err(FetchError::UnpackFailed)?;
-    gw.asking.unpack_failures.set(0);
+    gw.hub_queries.unpack_failures.set(0);
     apply_changes(gw, store, changes, "fetch");
     Ok(())
 }
--- a/src/gateway/peers/hubs.rs
+++ b/src/gateway/peers/hubs.rs
@@ -191,7 +191,7 @@
     let mut last_pushed = gw.mirror.borrow().revision();
     loop {
         // Created before the revision is read, so that no change in between is missed.
-        let changed = gw.news.notified();
+        let changed = gw.items_changed.notified();
         let revision = gw.mirror.borrow().revision();
         if revision == last_pushed {
             changed.await;
@@ -240,7 +240,7 @@
     }
     // Hubs do not poll while they reach the store, and the hub with the wider link has a large
     // change long before the other one.
-    let own = gw.settings().peers;
+    let own = gw.settings().peer_addr;
     let state = gw.knowledge.borrow();
     for hub in choose_hubs(state.boxes()) {
         let is_included = pollers.iter().any(|(address, _)| *address == hub.address);
--- a/src/gateway/peers/leaving_upstreams.rs
+++ b/src/gateway/peers/leaving_upstreams.rs
@@ -15,8 +15,8 @@
     pub fn note_upstream_leaving(&self, upstream: &Upstream, now: Now) {
         let mut state = self.knowledge.borrow_mut();
         if state.record_leaving(upstream.life(), now) {
-            self.telemetry.upstream_leaves(upstream, "answer");
-            self.leaving.push(upstream.short_hash());
+            self.telemetry.record_leaving_upstream(upstream, "answer");
+            self.leaving_upstreams.push(upstream.short_hash());
         }
     }
 
@@ -27,7 +27,7 @@
         let named: Vec<Rc<Upstream>> = state.upstreams().filter(is_named).cloned().collect();
         for upstream in named {
             if state.record_leaving(upstream.life(), now) {
-                self.telemetry.upstream_leaves(&upstream, "box");
+                self.telemetry.record_leaving_upstream(&upstream, "box");
             }
         }
     }
@@ -36,7 +36,7 @@
 /// Broadcasts announcements to all other boxes, for as long as the process lives.
 pub async fn broadcast_leaving(gw: &Gateway, send: impl AsyncFn(&[SocketAddr], Vec<u32>)) {
     loop {
-        let hashes = gw.leaving.next().await;
+        let hashes = gw.leaving_upstreams.next().await;
         let others = gw.other_boxes();
         send(&others, hashes).await;
     }
--- a/src/gateway/peers/messages.rs
+++ b/src/gateway/peers/messages.rs
@@ -76,7 +76,7 @@
 
 /// Exchanges messages with other boxes for as long as the process lives.
 pub async fn exchange(gw: Rc<Gateway>, store: Rc<dyn ControlStore>) -> Result<()> {
-    let address = gw.settings().peers;
+    let address = gw.settings().peer_addr;
     let error = |err| Error::Unreachable(format!("cannot listen on {address}: {err}"));
     let socket = UdpSocket::bind(address).await.map_err(error)?;
     let listener = TcpListener::bind(address).await.map_err(error)?;
@@ -112,7 +112,9 @@
         match socket.recv_from(&mut buf).await {
             Ok((len, from)) => {
                 let datagram = buf.get(..len).unwrap_or_default();
-                gw.heard.borrow_mut().record_message(from, Now::read());
+                gw.last_contacts
+                    .borrow_mut()
+                    .record_message(from, Now::read());
                 match datagram::decode::<PeerMessage>(datagram) {
                     Ok(message) => handle_message(gw, store, socket, message, from).await,
                     Err(err) => log::warn!("cannot decode a datagram from {from}: {err}"),
@@ -143,10 +145,10 @@
                 .apply_reported_elapsed(order, elapsed, now);
         }
         PeerMessage::VersionFoundBad(order) => gw.accept_peer_rejection(order, &from.to_string()),
-        PeerMessage::Load(load) => gw.loads.borrow_mut().set_report(load, now),
+        PeerMessage::Load(load) => gw.peer_loads.borrow_mut().set_report(load, now),
         PeerMessage::LongReads(reads) => {
             let state = gw.knowledge.borrow();
-            let mut loads = gw.loads.borrow_mut();
+            let mut loads = gw.peer_loads.borrow_mut();
             for read in reads {
                 loads.add_long_prefill(read, &state, now);
             }
@@ -195,7 +197,7 @@
         }
     };
     gw.telemetry
-        .told_boxes(message.purpose(), datagram.len() * to.len());
+        .count_peer_bytes(message.purpose(), datagram.len() * to.len());
     for address in to {
         if let Err(err) = socket.send_to(&datagram, address).await {
             log::debug!("cannot send a message to {address}: {err}");
@@ -264,9 +266,9 @@
     let settings = gw.settings();
     let state = gw.knowledge.borrow();
     let boxes = state.boxes_by_registration();
-    let liveness = gw.heard.borrow();
-    let mut live = liveness.live_boxes(&boxes, settings.peers, now);
-    live.retain(|entry| entry.address != settings.peers);
+    let liveness = gw.last_contacts.borrow();
+    let mut live = liveness.live_boxes(&boxes, settings.peer_addr, now);
+    live.retain(|entry| entry.address != settings.peer_addr);
     let in_hall = live.iter().find(|entry| entry.hall == settings.hall);
     let mut receivers: Vec<SocketAddr> = live
         .iter()
@@ -311,7 +313,7 @@
     loop {
         let others = gw.other_boxes();
         sleep(report_interval(others.len())).await;
-        let load = BoxLoad::collect(&gw.life, &gw.knowledge.borrow());
+        let load = BoxLoad::collect(&gw.incarnation, &gw.knowledge.borrow());
         let is_idle = load.is_idle();
         // During a trial of a version, a silent box is considered dead, so idle boxes report too.
         let has_trial = gw.knowledge.borrow().has_running_rollout();
@@ -321,7 +323,7 @@
         was_idle = is_idle;
         let now = Now::read();
         let state = gw.knowledge.borrow();
-        gw.loads.borrow_mut().apply_to_upstreams(&state, now);
+        gw.peer_loads.borrow_mut().apply_to_upstreams(&state, now);
     }
 }
 
--- a/src/gateway/peers/suspects.rs
+++ b/src/gateway/peers/suspects.rs
@@ -76,12 +76,13 @@
 /// Returns the offset at which this box starts its rounds, so that not all boxes send to the same
 /// one.
 fn initial_offset(gw: &Gateway) -> usize {
-    usize::from(gw.settings().peers.port()) + gw.life.bytes().map(usize::from).sum::<usize>()
+    usize::from(gw.settings().peer_addr.port())
+        + gw.incarnation.bytes().map(usize::from).sum::<usize>()
 }
 
 /// Returns the addresses of boxes that have registered since the last call.
 fn newly_registered(gw: &Gateway, known: &mut HashSet<String>) -> Vec<SocketAddr> {
-    let own = gw.settings().peers;
+    let own = gw.settings().peer_addr;
     let state = gw.knowledge.borrow();
     let joined = state
         .boxes()
--- a/src/gateway/place/candidates.rs
+++ b/src/gateway/place/candidates.rs
@@ -80,9 +80,9 @@
             None => Vec::new(),
         };
         let fleet = FleetView {
-            own_address: self.settings().peers,
+            own_address: self.settings().peer_addr,
             box_addresses: &boxes,
-            uptime: self.up_for(now),
+            uptime: self.uptime(now),
         };
         let back_off = |upstream: &Rc<Upstream>| {
             let retry_after = upstream.retry_after_left(now).map(BackOff::RetryAfter);
--- a/src/gateway/place/escalation.rs
+++ b/src/gateway/place/escalation.rs
@@ -64,7 +64,7 @@
     /// The model's confidence in the answer, from 0 to 100, if reported.
     pub confidence: Option<u32>,
     /// Rank of the route, from 0 for the most urgent to 1 for the least urgent; see
-    /// [`RouteTable::rank_part`](crate::gateway::admit::routes::RouteTable::rank_part).
+    /// [`RouteTable::relative_rank`](crate::gateway::admit::routes::RouteTable::relative_rank).
     pub rank_fraction: f64,
 }
 
--- a/tests/gateway/escalation.rs
+++ b/tests/gateway/escalation.rs
@@ -1,7 +1,7 @@
 //! Whether a smaller model's answer is accepted or a larger model is asked.
 
 use super::cases;
-use gatepier::gateway::admit::routes::EVEN_RANK;
+use gatepier::gateway::admit::routes::NEUTRAL_RELATIVE_RANK;
 use gatepier::gateway::place::escalation::{
     EscalationDecision, ExpectedFirstEvent, StartedAnswer, judge_answer,
 };
@@ -21,7 +21,7 @@
     StartedAnswer {
         model_index: place,
         confidence,
-        rank_fraction: EVEN_RANK,
+        rank_fraction: NEUTRAL_RELATIVE_RANK,
     }
 }
 
