--- a/src/agent.rs
+++ b/src/agent.rs
@@ -16,7 +16,7 @@
 pub mod shared;
 mod telemetry;
 
-use crate::claim::message::Owed;
+use crate::claim::message::UnrecordedFinish;
 use crate::claim::replica::Replica;
 use crate::claim::view::{Member, ShardId};
 use crate::clock::Now;
@@ -57,7 +57,7 @@
     shared: RefCell<Shared>,
     replicas: RefCell<BTreeMap<ShardId, Replica>>,
     shards_in_maintenance: RefCell<BTreeSet<ShardId>>,
-    unplaced: RefCell<Vec<Owed>>,
+    unplaced: RefCell<Vec<UnrecordedFinish>>,
     next_segment: Cell<u64>,
     written_segment: RefCell<Option<drain::OpenSegment>>,
     followers: RefCell<Vec<mpsc::Sender<Update>>>,
@@ -196,7 +196,7 @@
             .count();
         let waiting: usize = replicas
             .values()
-            .map(|replica| replica.undrained(usize::MAX).len())
+            .map(|replica| replica.unrecorded_bills(usize::MAX).len())
             .sum();
         let in_force = shared
             .applied()
--- a/src/agent/claims.rs
+++ b/src/agent/claims.rs
@@ -3,7 +3,7 @@
 
 use super::Agent;
 use super::gossip::{address_of, take_views};
-use crate::claim::message::{Owed, Refusal, ReplicaMessage};
+use crate::claim::message::{Refusal, ReplicaMessage, UnrecordedFinish};
 use crate::claim::replica::{ClaimStep, Replica};
 use crate::claim::view::{ShardId, View};
 use crate::claim::{AttemptId, ClaimKey, ClaimReply, Finish};
@@ -97,18 +97,18 @@
     });
     let message = match step {
         None => return ClaimReply::NotNow("the shard is not held here".to_owned()),
-        Some(ClaimStep::Answer(reply)) => return reply,
-        Some(ClaimStep::Ask(message)) => *message,
+        Some(ClaimStep::Reply(reply)) => return reply,
+        Some(ClaimStep::Replicate(message)) => *message,
     };
     let epoch = message.epoch;
     let asked = ask_witness(agent, message, None, WITNESS_DEADLINE).await;
     let reply = with_replica(agent, shard, |replica| {
         let reply = match asked {
-            Ok(()) => replica.acknowledged(epoch, key, attempt, Now::read()),
+            Ok(()) => replica.handle_claim_ack(epoch, key, attempt, Now::read()),
             Err(reason) => ClaimReply::NotNow(reason),
         };
         if reply != ClaimReply::Granted {
-            replica.give_up(key, attempt);
+            replica.abort_attempt(key, attempt);
         }
         reply
     });
@@ -215,7 +215,7 @@
     if relayed || matches!(placed, ControlResponse::Done) {
         return placed;
     }
-    agent.unplaced.borrow_mut().push(Owed {
+    agent.unplaced.borrow_mut().push(UnrecordedFinish {
         key,
         attempt,
         finish,
@@ -285,7 +285,7 @@
     if view.unknown_until.is_some() {
         agent.push(&Update::ClaimsLost);
     }
-    if view.names(&agent.me) {
+    if view.includes(&agent.me) {
         log::info!(shard = view.shard.to_string(), epoch = view.epoch.0; "this agent holds the shard as {}", role(agent, view));
     }
 }
--- a/src/agent/drain.rs
+++ b/src/agent/drain.rs
@@ -2,7 +2,7 @@
 
 use super::Agent;
 use super::claims;
-use crate::claim::message::{Owed, ReplicaMessage};
+use crate::claim::message::{ReplicaMessage, UnrecordedFinish};
 use crate::claim::{Bill, ClaimKey};
 use crate::ledger::{SEGMENT_BILLS, Segment};
 use crate::live::AGENT_SERVICE;
@@ -69,7 +69,7 @@
     let replicas = agent.replicas.borrow();
     let mut bills: Vec<Bill> = Vec::new();
     for replica in replicas.values() {
-        bills.extend(replica.undrained(SEGMENT_BILLS.saturating_sub(bills.len())));
+        bills.extend(replica.unrecorded_bills(SEGMENT_BILLS.saturating_sub(bills.len())));
     }
     let unplaced = agent.unplaced.borrow();
     let own = unplaced
@@ -117,7 +117,7 @@
         let mut replicas = agent.replicas.borrow_mut();
         let owned = replicas.values_mut().filter(|replica| replica.is_owner());
         owned
-            .filter_map(|replica| replica.mark_drained(&keys))
+            .filter_map(|replica| replica.mark_bills_recorded(&keys))
             .collect()
     };
     for message in messages {
@@ -137,7 +137,7 @@
 /// Offers the ends that no owner took to their owners once more.
 async fn place_unplaced(agent: &Rc<Agent>) {
     let unplaced = agent.unplaced.take();
-    for Owed {
+    for UnrecordedFinish {
         key,
         attempt,
         finish,
--- a/src/agent/gossip.rs
+++ b/src/agent/gossip.rs
@@ -62,7 +62,7 @@
         return agent.settings.seeds.iter().copied().collect();
     };
     let mut names: BTreeSet<&str> = BTreeSet::new();
-    for view in shared.views().filter(|view| view.names(&agent.me)) {
+    for view in shared.views().filter(|view| view.includes(&agent.me)) {
         names.insert(&view.owner.box_name);
         names.extend(
             view.witness
--- a/src/agent/shards.rs
+++ b/src/agent/shards.rs
@@ -31,7 +31,7 @@
             .replicas
             .borrow_mut()
             .values_mut()
-            .for_each(|replica| replica.expire(now));
+            .for_each(|replica| replica.remove_expired(now));
         for shard in shards_of_interest(&agent) {
             if agent
                 .shards_in_maintenance
@@ -53,7 +53,7 @@
     let shared = agent.shared.borrow();
     let held = shared
         .views()
-        .filter(|view| view.names(&agent.me))
+        .filter(|view| view.includes(&agent.me))
         .map(|view| view.shard.clone());
     home.chain(held).collect()
 }
@@ -129,7 +129,7 @@
     if members.witness.is_none() {
         return Ok(());
     }
-    let view = View::first(shard.clone(), members, now.wall);
+    let view = View::initial(shard.clone(), members, now.wall);
     match create_settled(agent.store.as_ref(), &key, &to_json(&view)).await? {
         WriteOutcome::Written => take_views(agent, &[view]),
         WriteOutcome::Conflict(found) => take_found(agent, found.as_ref()),
@@ -194,7 +194,7 @@
     let Some(revision) = read_revision(agent, view).await? else {
         return Ok(());
     };
-    let next = view.succeeded_by(members, now.wall);
+    let next = view.successor(members, now.wall);
     write_view(agent, &next, revision).await
 }
 
@@ -232,7 +232,9 @@
             return;
         }
     }
-    with_replica(agent, &view.shard, |replica| replica.synced(view.epoch));
+    with_replica(agent, &view.shard, |replica| {
+        replica.mark_witness_synced(view.epoch)
+    });
 }
 
 async fn maintain_as_witness(agent: &Rc<Agent>, view: &View, now: Now) -> StoreResult<()> {
@@ -335,7 +337,7 @@
         return Ok(());
     };
     log::warn!(shard = view.shard.to_string(); "the shard's claims are lost, unknown keys are refused for a while");
-    let next = view.succeeded_after_loss(members, now.wall);
+    let next = view.successor_after_loss(members, now.wall);
     write_view(agent, &next, revision).await
 }
 
--- a/src/claim.rs
+++ b/src/claim.rs
@@ -1,9 +1,10 @@
-//! Claims: what keeps a request that may not be repeated from running twice.
+//! Claims: at-most-once execution of requests that are not idempotent.
 //!
-//! A request's key belongs to a shard. A shard has an owner and a witness, named
-//! by a view record in the store; a claim counts once both hold it under the same
-//! epoch, so that no store call stands on a request's path. The reasons, and what
-//! happens when boxes are lost, stand in `docs/design/claims.md`.
+//! Each request key belongs to a shard. A shard is replicated on two agents, the owner
+//! (primary) and the witness (backup), which a view record in the store names together
+//! with an epoch. A claim is valid once both members hold it under the same epoch, so no
+//! store call is on the path of a request. `docs/design/claims.md` gives the reasons and
+//! the behaviour when boxes are lost.
 
 pub mod message;
 pub mod replica;
@@ -15,36 +16,36 @@
 use uuid::Uuid;
 use view::ShardId;
 
-/// How long a claim is remembered; a repeat that comes later is not recognised.
-pub const CLAIM_HORIZON: std::time::Duration = std::time::Duration::from_secs(600);
+/// How long a claim is retained. A repeat that arrives later is not recognised.
+pub const CLAIM_RETENTION: std::time::Duration = std::time::Duration::from_secs(600);
 
-/// The greatest answer in bytes that is kept for a repeat.
+/// Maximum size of a response body that is saved for repeats of its request.
 pub const KEPT_ANSWER_BYTES_LIMIT: usize = 4 * 1024;
 
-/// How many shards each hall is home to.
+/// Number of shards whose home is the same hall.
 pub const SHARDS_PER_HALL: u16 = 4;
 
-const MINTED_PREFIX: &str = "gp.";
+const GENERATED_ID_PREFIX: &str = "gp.";
 
-/// The key of a request within its partner: the organisation and the request's id.
+/// Key of a request, unique within a partner: the organisation and the request id.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimKey {
     /// The organisation that sent the request.
     pub organisation: String,
-    /// The caller's `Idempotency-Key`, else the id that the router minted.
+    /// The caller's `Idempotency-Key`, or the id that the router generated if there is none.
     pub request_id: String,
 }
 
 impl ClaimKey {
     /// Returns the shard that the key belongs to, given the halls in order.
     ///
-    /// A minted id names the hall that minted it; a caller's own id is spread over
-    /// all halls, since its repeat may arrive in any of them.
+    /// A generated id belongs to the hall that its router is in. An id chosen by the caller is
+    /// hashed over all halls, because its repeat may arrive in any of them.
     pub fn shard(&self, halls: &[String]) -> Option<ShardId> {
         let hash = xxhash_rust::xxh3::xxh3_64(self.to_string().as_bytes());
         let shards = u64::from(SHARDS_PER_HALL);
         let index = u16::try_from(hash % shards).unwrap_or(0);
-        if let Some((hall, _)) = parse_minted(&self.request_id)
+        if let Some((hall, _)) = parse_generated_id(&self.request_id)
             && halls.iter().any(|known| known == hall)
         {
             return Some(ShardId {
@@ -60,9 +61,9 @@
         })
     }
 
-    /// Returns when the request's id was minted, if a router minted it.
-    pub fn minted_at(&self) -> Option<WallTime> {
-        let (_, id) = parse_minted(&self.request_id)?;
+    /// Returns when a router generated the request id; none if the caller chose it.
+    pub fn generated_at(&self) -> Option<WallTime> {
+        let (_, id) = parse_generated_id(&self.request_id)?;
         let (seconds, nanos) = id.get_timestamp()?.to_unix();
         Some(WallTime(seconds * 1000 + u64::from(nanos) / 1_000_000))
     }
@@ -74,73 +75,76 @@
     }
 }
 
-/// Mints a request id that names its hall and its moment.
+/// Generates a request id that contains its hall and the time of generation.
 pub fn mint_request_id(hall: &str) -> String {
-    format!("{MINTED_PREFIX}{hall}.{}", Uuid::now_v7())
+    format!("{GENERATED_ID_PREFIX}{hall}.{}", Uuid::now_v7())
 }
 
-fn parse_minted(request_id: &str) -> Option<(&str, Uuid)> {
-    let (hall, id) = request_id.strip_prefix(MINTED_PREFIX)?.rsplit_once('.')?;
+fn parse_generated_id(request_id: &str) -> Option<(&str, Uuid)> {
+    let (hall, id) = request_id
+        .strip_prefix(GENERATED_ID_PREFIX)?
+        .rsplit_once('.')?;
     Some((hall, Uuid::parse_str(id).ok()?))
 }
 
-/// One try of a router to claim a key; each try has its own random id.
+/// Random id of one attempt of a router to claim a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId(pub u128);
 
 impl AttemptId {
-    /// Makes a new id.
+    /// Generates a new id.
     pub fn random() -> Self {
         Self(rand::random())
     }
 }
 
-/// The bill of one request; the ledger counts a key once.
+/// Bill of one request. The ledger counts only one bill for each key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Bill {
-    /// The request.
+    /// Key of the request.
     pub key: ClaimKey,
     /// The version or the service that ran the request.
     pub ran_on: String,
-    /// The tokens generated; zero for plain services.
+    /// Number of generated tokens; zero for plain services.
     pub tokens: u64,
-    /// The price, in millionths of a credit.
+    /// Price in millionths of a credit.
     pub cost_micros: u64,
     /// When the request ended.
     pub at: WallTime,
 }
 
-/// An answer kept for repeats of its request.
+/// Response that is saved for repeats of its request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct KeptAnswer {
     /// The HTTP status.
     pub status: u16,
-    /// The `Content-Type` header.
+    /// Value of the `Content-Type` header.
     pub content_type: String,
-    /// The whole body.
+    /// Complete body.
     pub body: Vec<u8>,
 }
 
 /// How a request ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Finish {
-    /// The answer, if it is whole and small enough to keep.
+    /// The response, if it is complete and small enough to be saved.
     pub answer: Option<KeptAnswer>,
     /// The bill, if the request is billed.
     pub bill: Option<Bill>,
 }
 
-/// The answer to an attempt to claim a key.
+/// Reply to an attempt to claim a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimReply {
     /// The attempt holds the claim and may dispatch the request.
     Granted,
-    /// Another attempt holds the claim and has not ended, or its end is not known.
+    /// Another attempt holds the claim, and no end of it has been recorded.
     Running,
-    /// Another attempt ended; its answer is given if it is still kept.
+    /// Another attempt ended. Contains its response if that was saved.
     Finished(Option<KeptAnswer>),
-    /// The claims of this shard were lost; whether the request ran is not known.
+    /// The claims of this shard were lost, so it is not known whether the request ran.
     Unknown,
-    /// Claims cannot be taken now; this attempt was not granted and will not be.
+    /// The shard cannot grant claims now. This attempt was not granted and never will be.
+    /// Contains the reason.
     NotNow(String),
 }
--- a/src/claim/message.rs
+++ b/src/claim/message.rs
@@ -1,79 +1,80 @@
-//! What a shard's copies hold of a key, and what an owner tells its witness.
+//! Replicated state of a claim, and the replication messages from a shard's owner to its witness.
 
 use super::view::{Epoch, Member, ShardId};
 use super::{AttemptId, ClaimKey, Finish};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The state of one key.
+/// State of one key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Entry {
-    /// The attempt that holds the key.
+pub struct ClaimEntry {
+    /// Attempt that holds the key.
     pub attempt: AttemptId,
-    /// The order in which the owner gave out holds, so that a late one is known as such.
+    /// Position in the order in which the owner recorded attempts, by which a delayed message is
+    /// recognised.
     pub sequence: u64,
-    /// How far the attempt has come.
+    /// Progress of the attempt.
     pub phase: Phase,
-    /// When the entry last changed here.
+    /// When this replica last changed the entry, on its monotonic clock.
     #[serde(skip)]
-    pub changed: Duration,
+    pub changed_at: Duration,
 }
 
-/// How far an attempt has come.
+/// Progress of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Phase {
-    /// The owner waits for the witness; nothing was granted.
+    /// The owner waits for the acknowledgement of the witness. Nothing has been granted.
     Pending,
-    /// The claim is granted, and its request may be under way.
+    /// The claim has been granted, and its request may be running.
     Running,
     /// The request ended.
     Finished {
         /// How it ended.
         finish: Finish,
-        /// Whether its bill stands in the ledger.
-        drained: bool,
+        /// Whether its bill has been written to the ledger.
+        bill_recorded: bool,
     },
 }
 
-/// The end of a request whose bill still has to be brought to the ledger.
+/// End of a request whose bill has not been written to the ledger yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Owed {
-    /// The key.
+pub struct UnrecordedFinish {
+    /// Key of the request.
     pub key: ClaimKey,
-    /// The attempt.
+    /// Attempt that ran the request.
     pub attempt: AttemptId,
     /// How the request ended.
     pub finish: Finish,
 }
 
-/// A message from a shard's owner to its witness.
+/// Replication message from a shard's owner to its witness.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReplicaMessage {
     /// The shard.
     pub shard: ShardId,
-    /// The epoch under which the owner speaks.
+    /// Epoch in which the owner sent the message.
     pub epoch: Epoch,
     /// The owner.
     pub from: Member,
-    /// The witness that is meant; another life of the same box is not.
+    /// The addressed witness. A restarted agent on the same box is another member.
     pub to: Member,
-    /// What changes.
-    pub change: Change,
+    /// Change to apply.
+    pub change: ClaimChange,
 }
 
-/// A change that the witness has to hold as well.
+/// Change to the claim table that the witness has to apply as well.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Change {
-    /// An attempt asks for a key.
-    Hold {
+pub enum ClaimChange {
+    /// An attempt claims a key.
+    Claim {
         /// The key.
         key: ClaimKey,
         /// The attempt.
         attempt: AttemptId,
-        /// The hold's place in the owner's order.
+        /// The attempt's position in the order of the owner.
         sequence: u64,
     },
-    /// An attempt that was never dispatched gives its key back.
+    /// An attempt whose request was never dispatched releases its key.
     Drop {
         /// The key.
         key: ClaimKey,
@@ -84,40 +85,40 @@
     Finish {
         /// The key.
         key: ClaimKey,
-        /// The entry as the owner holds it.
-        entry: Entry,
+        /// Entry in the owner's table.
+        entry: ClaimEntry,
     },
-    /// Bills stand in the ledger.
-    Drained {
+    /// Bills have been written to the ledger.
+    BillsRecorded {
         /// Their keys.
         keys: Vec<ClaimKey>,
     },
-    /// A part of the whole table, for a new witness.
-    Sync {
-        /// The number of this transfer; parts of an earlier one do not count.
-        transfer: u64,
-        /// The part's number, from zero.
-        part: u64,
+    /// One part of the complete table, for a new witness.
+    SyncPart {
+        /// Number of this transfer. Parts of earlier transfers are refused.
+        transfer_id: u64,
+        /// Index of the part, from zero.
+        part_index: u64,
         /// Whether it is the last part.
-        last: bool,
+        is_last: bool,
         /// The entries.
-        entries: Vec<(ClaimKey, Entry)>,
+        entries: Vec<(ClaimKey, ClaimEntry)>,
     },
 }
 
 /// Why a witness does not acknowledge a message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Refusal {
-    /// The message belongs to an epoch that this member has left.
+    /// The epoch of the message is older than this member's.
     OldEpoch,
-    /// This member has not heard of the epoch yet.
+    /// This member does not know the epoch yet.
     UnknownEpoch,
-    /// This member is not the witness that is meant.
+    /// This member is not the addressed witness, or the sender is not its owner.
     NotWitness,
-    /// This member does not hold the whole table yet.
+    /// This member has not received the complete table yet.
     NotSynced,
-    /// This member means to take the shard over.
+    /// This member has begun a takeover of the shard.
     TakingOver,
-    /// The message contradicts what this member holds.
+    /// The message contradicts this member's table.
     Contradiction,
 }
--- a/src/claim/replica.rs
+++ b/src/claim/replica.rs
@@ -1,155 +1,157 @@
-//! One agent's copy of one shard, as a state machine without I/O.
+//! Replica of one shard on one agent, as a state machine without I/O.
 //!
-//! The same code runs in the agent, in tests and in the exhaustive exploration of
-//! `tests/claim_exploration.rs`. Three rules carry the safety:
+//! The agent, the tests and the exhaustive exploration in `tests/claim_exploration.rs` run the
+//! same code. Safety rests on three rules:
 //!
-//! - a claim is granted only after the witness of the same epoch acknowledged it;
-//! - a witness that means to take over refuses its epoch from then on;
-//! - a witness counts only once it holds the owner's whole table.
+//! - A claim is granted only after the witness of the same epoch has acknowledged it.
+//! - A witness that has begun a takeover refuses all messages of its epoch from then on.
+//! - A witness may acknowledge claims and take over only after it has received the owner's
+//!   complete table.
 
-use super::message::{Change, Entry, Owed, Phase, Refusal, ReplicaMessage};
+use super::message::{ClaimChange, ClaimEntry, Phase, Refusal, ReplicaMessage, UnrecordedFinish};
 use super::view::{Epoch, Member, Members, View};
-use super::{AttemptId, CLAIM_HORIZON, ClaimKey, ClaimReply, Finish};
+use super::{AttemptId, CLAIM_RETENTION, ClaimKey, ClaimReply, Finish};
 use crate::clock::{Now, WallTime};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How far two boxes' wall clocks may lie apart.
-pub const CLOCK_SKEW: Duration = Duration::from_secs(5);
+/// Maximum difference between the wall clocks of two boxes.
+pub const MAX_CLOCK_SKEW: Duration = Duration::from_secs(5);
 
-/// The greatest number of entries in one part of a table that is sent to a new witness.
-pub const SYNC_PART_ENTRIES: usize = 256;
+/// Maximum number of entries in one part of the table transfer to a new witness.
+pub const SYNC_PART_MAX_ENTRIES: usize = 256;
 
-/// What an owner does about an attempt.
+/// Next step of an owner for an attempt to claim a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimStep {
-    /// Answer at once.
-    Answer(ClaimReply),
-    /// Ask the witness first.
-    Ask(Box<ReplicaMessage>),
+    /// Reply without involving the witness.
+    Reply(ClaimReply),
+    /// Replicate the claim to the witness first.
+    Replicate(Box<ReplicaMessage>),
 }
 
-/// What a member is to a shard.
+/// Role of this member in a shard.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-enum Standing {
-    Outside,
+enum Role {
+    NotMember,
     Owner {
         witness_synced: bool,
     },
     Witness {
         synced: bool,
         taking_over: bool,
-        transfer: u64,
-        next_part: u64,
+        transfer_id: u64,
+        next_part_index: u64,
     },
 }
 
-/// One agent's copy of one shard.
+/// Replica of one shard on one agent.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Replica {
-    me: Member,
+    member: Member,
     view: Option<View>,
-    standing: Standing,
-    table: BTreeMap<ClaimKey, Entry>,
+    role: Role,
+    table: BTreeMap<ClaimKey, ClaimEntry>,
     next_sequence: u64,
-    next_transfer: u64,
+    next_transfer_id: u64,
 }
 
 impl Replica {
-    /// Makes a copy that knows nothing.
-    pub fn new(me: Member) -> Self {
+    /// Creates an empty replica without a view.
+    pub fn new(member: Member) -> Self {
         Self {
-            me,
+            member,
             view: None,
-            standing: Standing::Outside,
+            role: Role::NotMember,
             table: BTreeMap::new(),
             next_sequence: 0,
-            next_transfer: 0,
+            next_transfer_id: 0,
         }
     }
 
-    /// Returns the newest view that this member knows.
+    /// Returns the newest known view.
     pub fn view(&self) -> Option<&View> {
         self.view.as_ref()
     }
 
-    /// Tells whether this member owns the shard.
+    /// Returns whether this member owns the shard.
     pub fn is_owner(&self) -> bool {
-        matches!(self.standing, Standing::Owner { .. })
+        matches!(self.role, Role::Owner { .. })
     }
 
-    /// Tells whether this member owns the shard and still has to bring its witness up to date.
+    /// Returns whether this member owns the shard and still has to send the table to its witness.
     pub fn needs_sync(&self) -> bool {
         let has_witness = self
             .view
             .as_ref()
             .is_some_and(|view| view.witness.is_some());
         has_witness
-            && self.standing
-                == Standing::Owner {
+            && self.role
+                == Role::Owner {
                     witness_synced: false,
                 }
     }
 
-    /// Tells whether this member can grant claims.
+    /// Returns whether this member owns the shard and has a witness with the complete table.
     pub fn can_grant(&self) -> bool {
-        self.standing
-            == Standing::Owner {
+        self.role
+            == Role::Owner {
                 witness_synced: true,
             }
     }
 
-    /// Takes a view, if it is newer than the present one.
+    /// Applies a view if it is newer than the current one.
     ///
-    /// The table is kept only where it is known to be whole: by an owner that stays,
-    /// and by a synced witness that becomes the owner. Bills in a table that is given up
-    /// are returned, since an owner that was cut off may be the only one to hold them.
-    pub fn apply_view(&mut self, view: &View) -> Vec<Owed> {
+    /// The table is kept only where it is known to be complete: by an owner that stays the owner,
+    /// and by a synced witness that becomes the owner in the next epoch. Otherwise it is discarded
+    /// and its unrecorded bills are returned, because an owner that was partitioned may be the
+    /// only member that holds them.
+    pub fn apply_view(&mut self, view: &View) -> Vec<UnrecordedFinish> {
         if self
             .view
             .as_ref()
-            .is_some_and(|present| present.epoch >= view.epoch)
+            .is_some_and(|current| current.epoch >= view.epoch)
         {
             return Vec::new();
         }
-        let follows = self
+        let is_next_epoch = self
             .view
             .as_ref()
-            .is_some_and(|present| present.epoch.0 + 1 == view.epoch.0);
-        let holds_all = match self.standing {
-            Standing::Owner { .. } => true,
-            Standing::Witness { synced, .. } => synced,
-            Standing::Outside => false,
+            .is_some_and(|current| current.epoch.0 + 1 == view.epoch.0);
+        let table_is_complete = match self.role {
+            Role::Owner { .. } => true,
+            Role::Witness { synced, .. } => synced,
+            Role::NotMember => false,
         };
-        self.standing = if view.owner == self.me {
-            Standing::Owner {
+        self.role = if view.owner == self.member {
+            Role::Owner {
                 witness_synced: false,
             }
-        } else if view.witness.as_ref() == Some(&self.me) {
-            Standing::Witness {
+        } else if view.witness.as_ref() == Some(&self.member) {
+            Role::Witness {
                 synced: false,
                 taking_over: false,
-                transfer: 0,
-                next_part: 0,
+                transfer_id: 0,
+                next_part_index: 0,
             }
         } else {
-            Standing::Outside
+            Role::NotMember
         };
         self.view = Some(view.clone());
-        let keeps = self.is_owner() && follows && holds_all;
-        if keeps {
+        let keeps_table = self.is_owner() && is_next_epoch && table_is_complete;
+        if keeps_table {
             Vec::new()
         } else {
-            self.give_table_up()
+            self.discard_table()
         }
     }
 
-    fn give_table_up(&mut self) -> Vec<Owed> {
-        let owed = |(key, entry): (ClaimKey, Entry)| match entry.phase {
+    fn discard_table(&mut self) -> Vec<UnrecordedFinish> {
+        let unrecorded = |(key, entry): (ClaimKey, ClaimEntry)| match entry.phase {
             Phase::Finished {
                 finish,
-                drained: false,
-            } if finish.bill.is_some() => Some(Owed {
+                bill_recorded: false,
+            } if finish.bill.is_some() => Some(UnrecordedFinish {
                 key,
                 attempt: entry.attempt,
                 finish,
@@ -158,48 +160,53 @@
         };
         std::mem::take(&mut self.table)
             .into_iter()
-            .filter_map(owed)
+            .filter_map(unrecorded)
             .collect()
     }
 
-    fn message(&self, change: Change) -> Option<ReplicaMessage> {
+    fn message(&self, change: ClaimChange) -> Option<ReplicaMessage> {
         let view = self.view.as_ref()?;
         Some(ReplicaMessage {
             shard: view.shard.clone(),
             epoch: view.epoch,
-            from: self.me.clone(),
+            from: self.member.clone(),
             to: view.witness.clone()?,
             change,
         })
     }
 
-    /// Decides about an attempt to claim a key.
+    /// Handles an attempt to claim a key.
     pub fn claim(&mut self, key: &ClaimKey, attempt: AttemptId, now: Now) -> ClaimStep {
-        if let Some(reply) = self.settled(key, attempt, now) {
-            return ClaimStep::Answer(reply);
+        if let Some(reply) = self.reply_without_witness(key, attempt, now) {
+            return ClaimStep::Reply(reply);
         }
         let sequence = self.next_sequence;
-        let hold = Change::Hold {
+        let claim = ClaimChange::Claim {
             key: key.clone(),
             attempt,
             sequence,
         };
-        let Some(message) = self.message(hold) else {
-            return ClaimStep::Answer(ClaimReply::NotNow("the shard has no witness".to_owned()));
+        let Some(message) = self.message(claim) else {
+            return ClaimStep::Reply(ClaimReply::NotNow("the shard has no witness".to_owned()));
         };
         self.next_sequence += 1;
-        let entry = Entry {
+        let entry = ClaimEntry {
             attempt,
             sequence,
             phase: Phase::Pending,
-            changed: now.monotonic,
+            changed_at: now.monotonic,
         };
         self.table.insert(key.clone(), entry);
-        ClaimStep::Ask(Box::new(message))
+        ClaimStep::Replicate(Box::new(message))
     }
 
-    /// Returns the reply to an attempt, if it does not need the witness.
-    fn settled(&self, key: &ClaimKey, attempt: AttemptId, now: Now) -> Option<ClaimReply> {
+    /// Returns the reply to an attempt if it can be given without the witness.
+    fn reply_without_witness(
+        &self,
+        key: &ClaimKey,
+        attempt: AttemptId,
+        now: Now,
+    ) -> Option<ClaimReply> {
         if !self.is_owner() {
             return Some(ClaimReply::NotNow(
                 "this agent does not own the shard".to_owned(),
@@ -231,15 +238,15 @@
         if at >= unknown_until {
             return false;
         }
-        let horizon = u64::try_from(CLAIM_HORIZON.as_millis()).unwrap_or(u64::MAX);
-        let skew = u64::try_from(CLOCK_SKEW.as_millis()).unwrap_or(u64::MAX);
+        let horizon = u64::try_from(CLAIM_RETENTION.as_millis()).unwrap_or(u64::MAX);
+        let skew = u64::try_from(MAX_CLOCK_SKEW.as_millis()).unwrap_or(u64::MAX);
         let lost_at = unknown_until.0.saturating_sub(horizon);
-        key.minted_at()
+        key.generated_at()
             .is_none_or(|minted| minted.0 <= lost_at.saturating_add(skew))
     }
 
-    /// Takes the witness's acknowledgement of a hold and returns the reply to the attempt.
-    pub fn acknowledged(
+    /// Handles the witness's acknowledgement of a claim and returns the reply to the attempt.
+    pub fn handle_claim_ack(
         &mut self,
         epoch: Epoch,
         key: &ClaimKey,
@@ -248,30 +255,35 @@
     ) -> ClaimReply {
         let same_epoch = self.view.as_ref().is_some_and(|view| view.epoch == epoch);
         if !same_epoch || !self.can_grant() {
-            return ClaimReply::NotNow("the shard changed its owner meanwhile".to_owned());
+            return ClaimReply::NotNow(
+                "the shard's epoch changed while the claim was replicated".to_owned(),
+            );
         }
         match self.table.get_mut(key) {
             Some(entry) if entry.attempt == attempt && entry.phase == Phase::Pending => {
                 entry.phase = Phase::Running;
-                entry.changed = now.monotonic;
+                entry.changed_at = now.monotonic;
                 ClaimReply::Granted
             }
             Some(entry) if entry.attempt == attempt && entry.phase == Phase::Running => {
                 ClaimReply::Granted
             }
-            _ => ClaimReply::NotNow("the attempt was given up meanwhile".to_owned()),
+            _ => ClaimReply::NotNow(
+                "the attempt was aborted while the claim was replicated".to_owned(),
+            ),
         }
     }
 
-    /// Forgets an attempt that the witness did not acknowledge; it will not be granted.
-    pub fn give_up(&mut self, key: &ClaimKey, attempt: AttemptId) {
-        let pending = |entry: &Entry| entry.attempt == attempt && entry.phase == Phase::Pending;
+    /// Removes an attempt that the witness did not acknowledge. It will not be granted.
+    pub fn abort_attempt(&mut self, key: &ClaimKey, attempt: AttemptId) {
+        let pending =
+            |entry: &ClaimEntry| entry.attempt == attempt && entry.phase == Phase::Pending;
         if self.table.get(key).is_some_and(pending) {
             self.table.remove(key);
         }
     }
 
-    /// Gives a key back whose request was never dispatched by this attempt.
+    /// Releases a key whose request this attempt never dispatched.
     pub fn release(&mut self, key: &ClaimKey, attempt: AttemptId) -> Option<ReplicaMessage> {
         let entry = self.table.get(key)?;
         let finished = matches!(entry.phase, Phase::Finished { .. });
@@ -279,16 +291,16 @@
             return None;
         }
         self.table.remove(key);
-        self.message(Change::Drop {
+        self.message(ClaimChange::Drop {
             key: key.clone(),
             attempt,
         })
     }
 
-    /// Records how a request ended; the first end of a key counts.
+    /// Records how a request ended; only the first end of a key is kept.
     ///
-    /// A request that needed no claim is recorded as well if it is billed, so that
-    /// the bill waits at owner and witness.
+    /// The end of a billed request that needed no claim is recorded as well, so that owner and
+    /// witness both hold the bill until it is in the ledger.
     pub fn finish(
         &mut self,
         key: &ClaimKey,
@@ -301,7 +313,7 @@
         }
         match self.table.get(key) {
             Some(entry) if matches!(entry.phase, Phase::Finished { .. }) => {
-                let change = Change::Finish {
+                let change = ClaimChange::Finish {
                     key: key.clone(),
                     entry: entry.clone(),
                 };
@@ -313,143 +325,142 @@
         self.next_sequence += 1;
         let phase = Phase::Finished {
             finish,
-            drained: false,
+            bill_recorded: false,
         };
-        let entry = Entry {
+        let entry = ClaimEntry {
             attempt,
             sequence,
             phase,
-            changed: now.monotonic,
+            changed_at: now.monotonic,
         };
         self.table.insert(key.clone(), entry.clone());
-        self.message(Change::Finish {
+        self.message(ClaimChange::Finish {
             key: key.clone(),
             entry,
         })
     }
 
-    /// Returns bills that do not stand in the ledger yet, up to a limit.
-    pub fn undrained(&self, limit: usize) -> Vec<super::Bill> {
+    /// Returns bills that have not been written to the ledger yet, up to a limit.
+    pub fn unrecorded_bills(&self, limit: usize) -> Vec<super::Bill> {
         if !self.is_owner() {
             return Vec::new();
         }
-        let bill = |entry: &Entry| match &entry.phase {
+        let bill = |entry: &ClaimEntry| match &entry.phase {
             Phase::Finished {
                 finish,
-                drained: false,
+                bill_recorded: false,
             } => finish.bill.clone(),
             _ => None,
         };
         self.table.values().filter_map(bill).take(limit).collect()
     }
 
-    /// Records that bills stand in the ledger; the witness hears of the keys held here.
-    pub fn mark_drained(&mut self, keys: &[ClaimKey]) -> Option<ReplicaMessage> {
+    /// Records that bills are in the ledger. Returns a message to the witness with those keys that
+    /// are in this table.
+    pub fn mark_bills_recorded(&mut self, keys: &[ClaimKey]) -> Option<ReplicaMessage> {
         let mut held = Vec::new();
         for key in keys {
             if let Some(entry) = self.table.get_mut(key)
-                && let Phase::Finished { drained, .. } = &mut entry.phase
+                && let Phase::Finished { bill_recorded, .. } = &mut entry.phase
             {
-                *drained = true;
+                *bill_recorded = true;
                 held.push(key.clone());
             }
         }
         if held.is_empty() {
             return None;
         }
-        self.message(Change::Drained { keys: held })
+        self.message(ClaimChange::BillsRecorded { keys: held })
     }
 
-    /// Forgets keys whose horizon has passed, but no bill that still has to be drained.
-    pub fn expire(&mut self, now: Now) {
+    /// Removes keys whose retention time has passed, except those with an unrecorded bill.
+    pub fn remove_expired(&mut self, now: Now) {
         self.table.retain(|_, entry| {
-            let owed = matches!(
+            let unrecorded = matches!(
                 &entry.phase,
-                Phase::Finished { finish, drained: false } if finish.bill.is_some()
+                Phase::Finished { finish, bill_recorded: false } if finish.bill.is_some()
             );
-            owed || now.monotonic.saturating_sub(entry.changed) < CLAIM_HORIZON
+            unrecorded || now.monotonic.saturating_sub(entry.changed_at) < CLAIM_RETENTION
         });
     }
 
-    /// Returns the parts that bring a new witness up to date.
+    /// Starts a transfer of the complete table to a new witness and returns its parts.
     pub fn sync_parts(&mut self) -> Vec<ReplicaMessage> {
-        self.next_transfer += 1;
-        let transfer = self.next_transfer;
-        let entries: Vec<(ClaimKey, Entry)> = self
+        self.next_transfer_id += 1;
+        let transfer_id = self.next_transfer_id;
+        let entries: Vec<(ClaimKey, ClaimEntry)> = self
             .table
             .iter()
             .map(|(key, entry)| (key.clone(), entry.clone()))
             .collect();
         let mut chunks: Vec<_> = entries
-            .chunks(SYNC_PART_ENTRIES)
+            .chunks(SYNC_PART_MAX_ENTRIES)
             .map(<[_]>::to_vec)
             .collect();
         if chunks.is_empty() {
             chunks.push(Vec::new());
         }
         let count = chunks.len();
-        let part = |(number, entries): (usize, Vec<(ClaimKey, Entry)>)| {
-            self.message(Change::Sync {
-                transfer,
-                part: number as u64,
-                last: number + 1 == count,
+        let part = |(number, entries): (usize, Vec<(ClaimKey, ClaimEntry)>)| {
+            self.message(ClaimChange::SyncPart {
+                transfer_id,
+                part_index: number as u64,
+                is_last: number + 1 == count,
                 entries,
             })
         };
         chunks.into_iter().enumerate().filter_map(part).collect()
     }
 
-    /// Records that the witness of an epoch acknowledged the last part of the table.
-    pub fn synced(&mut self, epoch: Epoch) {
+    /// Records that the witness of an epoch has acknowledged the last part of the table.
+    pub fn mark_witness_synced(&mut self, epoch: Epoch) {
         let same_epoch = self.view.as_ref().is_some_and(|view| view.epoch == epoch);
         if same_epoch && self.is_owner() {
-            self.standing = Standing::Owner {
+            self.role = Role::Owner {
                 witness_synced: true,
             };
         }
     }
 
-    /// Tells whether this witness holds all that a new owner needs.
+    /// Returns whether this member is a witness with the complete table.
     pub fn can_take_over(&self) -> bool {
-        matches!(self.standing, Standing::Witness { synced: true, .. })
+        matches!(self.role, Role::Witness { synced: true, .. })
     }
 
-    /// Begins a takeover: from now on the present epoch gets no acknowledgement.
+    /// Begins a takeover: from now on no message of the current epoch is acknowledged.
     ///
-    /// Returns the view to be written in place of the present one.
+    /// Returns the view to be written in place of the current one.
     pub fn begin_takeover(&mut self, members: Members, at: WallTime) -> Option<View> {
-        match &mut self.standing {
-            Standing::Witness {
+        match &mut self.role {
+            Role::Witness {
                 synced: true,
                 taking_over,
                 ..
             } => *taking_over = true,
             _ => return None,
         }
-        self.view
-            .as_ref()
-            .map(|view| view.succeeded_by(members, at))
+        self.view.as_ref().map(|view| view.successor(members, at))
     }
 
-    /// Tells whether a takeover has begun whose outcome is not known yet.
+    /// Returns whether a takeover has begun whose outcome is not known yet.
     pub fn is_taking_over(&self) -> bool {
         matches!(
-            self.standing,
-            Standing::Witness {
+            self.role,
+            Role::Witness {
                 taking_over: true,
                 ..
             }
         )
     }
 
-    /// Ends a takeover whose write is proved not to have reached the store.
+    /// Cancels a takeover whose view was provably not written to the store.
     pub fn cancel_takeover(&mut self) {
-        if let Standing::Witness { taking_over, .. } = &mut self.standing {
+        if let Role::Witness { taking_over, .. } = &mut self.role {
             *taking_over = false;
         }
     }
 
-    /// Takes a message from the owner; only an acknowledged message counts for the owner.
+    /// Applies a message from the owner. `Ok` acknowledges it.
     pub fn receive(&mut self, message: ReplicaMessage, now: Now) -> Result<(), Refusal> {
         let view = self.view.as_ref().ok_or(Refusal::UnknownEpoch)?;
         if message.epoch < view.epoch {
@@ -458,14 +469,14 @@
         if message.epoch > view.epoch {
             return Err(Refusal::UnknownEpoch);
         }
-        if message.to != self.me || message.from != view.owner {
+        if message.to != self.member || message.from != view.owner {
             return Err(Refusal::NotWitness);
         }
-        let Standing::Witness {
+        let Role::Witness {
             synced,
             taking_over,
             ..
-        } = &self.standing
+        } = &self.role
         else {
             return Err(Refusal::NotWitness);
         };
@@ -473,34 +484,34 @@
             return Err(Refusal::TakingOver);
         }
         match message.change {
-            Change::Sync {
-                transfer,
-                part,
-                last,
+            ClaimChange::SyncPart {
+                transfer_id,
+                part_index,
+                is_last,
                 entries,
-            } => self.receive_part(transfer, part, last, entries, now),
-            Change::Finish { key, entry } => {
+            } => self.receive_sync_part(transfer_id, part_index, is_last, entries, now),
+            ClaimChange::Finish { key, entry } => {
                 self.insert(key, entry, now);
                 Ok(())
             }
-            Change::Drained { keys } => {
-                self.mark_drained(&keys);
+            ClaimChange::BillsRecorded { keys } => {
+                self.mark_bills_recorded(&keys);
                 Ok(())
             }
-            Change::Drop { key, attempt } => {
-                self.drop_held(&key, attempt);
+            ClaimChange::Drop { key, attempt } => {
+                self.remove_running(&key, attempt);
                 Ok(())
             }
-            Change::Hold { .. } if !synced => Err(Refusal::NotSynced),
-            Change::Hold {
+            ClaimChange::Claim { .. } if !synced => Err(Refusal::NotSynced),
+            ClaimChange::Claim {
                 key,
                 attempt,
                 sequence,
-            } => self.hold(key, attempt, sequence, now),
+            } => self.record_claim(key, attempt, sequence, now),
         }
     }
 
-    fn hold(
+    fn record_claim(
         &mut self,
         key: ClaimKey,
         attempt: AttemptId,
@@ -511,7 +522,7 @@
             && entry.attempt != attempt
         {
             if matches!(entry.phase, Phase::Finished { .. }) {
-                log::error!("invariant: the owner holds {key}, which has finished");
+                log::error!("invariant: the owner claims {key}, which has finished");
                 return Err(Refusal::Contradiction);
             }
             if entry.sequence > sequence {
@@ -520,67 +531,67 @@
         }
         self.insert(
             key,
-            Entry {
+            ClaimEntry {
                 attempt,
                 sequence,
                 phase: Phase::Running,
-                changed: now.monotonic,
+                changed_at: now.monotonic,
             },
             now,
         );
         Ok(())
     }
 
-    fn drop_held(&mut self, key: &ClaimKey, attempt: AttemptId) {
-        let held = |entry: &Entry| entry.attempt == attempt && entry.phase == Phase::Running;
+    fn remove_running(&mut self, key: &ClaimKey, attempt: AttemptId) {
+        let held = |entry: &ClaimEntry| entry.attempt == attempt && entry.phase == Phase::Running;
         if self.table.get(key).is_some_and(held) {
             self.table.remove(key);
         }
     }
 
-    fn receive_part(
+    fn receive_sync_part(
         &mut self,
-        transfer: u64,
-        part: u64,
-        last: bool,
-        entries: Vec<(ClaimKey, Entry)>,
+        transfer_id: u64,
+        part_index: u64,
+        is_last: bool,
+        entries: Vec<(ClaimKey, ClaimEntry)>,
         now: Now,
     ) -> Result<(), Refusal> {
-        let Standing::Witness {
+        let Role::Witness {
             synced,
-            transfer: current,
-            next_part,
+            transfer_id: current,
+            next_part_index,
             ..
-        } = &mut self.standing
+        } = &mut self.role
         else {
             return Err(Refusal::NotWitness);
         };
-        if part == 0 && transfer > *current {
-            *current = transfer;
-            *next_part = 0;
+        if part_index == 0 && transfer_id > *current {
+            *current = transfer_id;
+            *next_part_index = 0;
         }
-        if transfer != *current || part != *next_part {
+        if transfer_id != *current || part_index != *next_part_index {
             return Err(Refusal::NotSynced);
         }
-        *next_part += 1;
-        *synced |= last;
+        *next_part_index += 1;
+        *synced |= is_last;
         for (key, entry) in entries {
             self.insert(key, entry, now);
         }
         Ok(())
     }
 
-    /// Inserts an entry from the owner, unless a newer state of the key is held already.
-    fn insert(&mut self, key: ClaimKey, entry: Entry, now: Now) {
-        let mut entry = Entry {
-            changed: now.monotonic,
+    /// Inserts an entry from the owner unless the table already has a newer state of the key.
+    fn insert(&mut self, key: ClaimKey, entry: ClaimEntry, now: Now) {
+        let mut entry = ClaimEntry {
+            changed_at: now.monotonic,
             ..entry
         };
         if entry.phase == Phase::Pending {
-            // What is pending at the owner may be granted by this very acknowledgement.
+            // The acknowledgement of this message may let the owner grant the claim.
             entry.phase = Phase::Running;
         }
-        let finished = |entry: &Entry| matches!(entry.phase, Phase::Finished { .. });
+        let finished = |entry: &ClaimEntry| matches!(entry.phase, Phase::Finished { .. });
         match self.table.get(&key) {
             Some(held) if finished(held) && !finished(&entry) => {}
             Some(held) if held.sequence > entry.sequence => {}
--- a/src/claim/view.rs
+++ b/src/claim/view.rs
@@ -1,15 +1,15 @@
-//! Views: who owns a shard of claims and who witnesses it.
+//! Views: which members own and witness a shard of claims.
 
 use crate::clock::WallTime;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The name of a shard: the hall that is its home, and its number there.
+/// Id of a shard: its home hall and its index there.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ShardId {
-    /// The hall in which owner and witness are looked for first.
+    /// Home hall, where owner and witness are placed if possible.
     pub hall: String,
-    /// The shard's number within the hall.
+    /// Index of the shard within the hall.
     pub index: u16,
 }
 
@@ -19,12 +19,12 @@
     }
 }
 
-/// One life of one agent; a box that restarted is another member.
+/// One incarnation of an agent. After a restart the agent of the same box is another member.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// The box's name.
+    /// Name of the box.
     pub box_name: String,
-    /// The agent's incarnation on that box; a later one is higher.
+    /// Incarnation of the agent on that box; it increases with each start.
     pub incarnation: u64,
 }
 
@@ -34,36 +34,38 @@
     }
 }
 
-/// The order of a shard's views; a higher epoch replaces a lower one.
+/// Number of a shard's view. A view with a higher epoch replaces one with a lower epoch.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct Epoch(pub u64);
 
-/// Who owns a shard in one epoch.
+/// The members of a shard in one epoch, as stored and replicated.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct View {
     /// The shard.
     pub shard: ShardId,
     /// The epoch.
     pub epoch: Epoch,
-    /// The member that grants claims.
+    /// Member that grants claims (the primary).
     pub owner: Member,
-    /// The member whose acknowledgement each claim needs; without one none is granted.
+    /// Member that has to acknowledge each claim (the backup). Without a witness no claim is
+    /// granted.
     pub witness: Option<Member>,
-    /// When the view was made, by its maker's clock.
-    pub since: WallTime,
-    /// The revision of the live list that held owner and witness. A list of this or a
-    /// later revision without them proves that they are gone for good.
+    /// When the view was created, on the clock of the agent that created it.
+    #[serde(rename = "since")]
+    pub created_at: WallTime,
+    /// Revision of a live list that contained owner and witness. If a list of this or a later
+    /// revision does not contain one of them, that member is gone for good.
     pub list_revision: u64,
-    /// Until when keys that the owner does not know may have been claimed before,
-    /// because the shard's table was lost.
+    /// Set after the shard's table was lost: until this time a key that the owner does not know
+    /// may have been claimed before the loss.
     pub unknown_until: Option<WallTime>,
 }
 
 impl View {
-    /// Returns the first view of a shard.
-    pub fn first(shard: ShardId, members: Members, at: WallTime) -> Self {
+    /// Returns the initial view of a shard.
+    pub fn initial(shard: ShardId, members: Members, at: WallTime) -> Self {
         let Members {
             owner,
             witness,
@@ -75,14 +77,14 @@
             epoch,
             owner,
             witness,
-            since: at,
+            created_at: at,
             list_revision,
             unknown_until: None,
         }
     }
 
-    /// Returns the view that follows when its maker holds the shard's whole table.
-    pub fn succeeded_by(&self, members: Members, at: WallTime) -> Self {
+    /// Returns the next view, created by an agent that holds the shard's complete table.
+    pub fn successor(&self, members: Members, at: WallTime) -> Self {
         let Members {
             owner,
             witness,
@@ -93,35 +95,35 @@
             epoch: Epoch(self.epoch.0 + 1),
             owner,
             witness,
-            since: at,
+            created_at: at,
             list_revision,
             unknown_until: self.unknown_until,
         }
     }
 
-    /// Returns the view that follows when owner and witness are both gone for good.
-    pub fn succeeded_after_loss(&self, members: Members, at: WallTime) -> Self {
-        let horizon = u64::try_from(super::CLAIM_HORIZON.as_millis()).unwrap_or(u64::MAX);
+    /// Returns the next view after the shard's table was lost with its owner and witness.
+    pub fn successor_after_loss(&self, members: Members, at: WallTime) -> Self {
+        let horizon = u64::try_from(super::CLAIM_RETENTION.as_millis()).unwrap_or(u64::MAX);
         let unknown_until = Some(WallTime(at.0.saturating_add(horizon)));
         Self {
             unknown_until,
-            ..self.succeeded_by(members, at)
+            ..self.successor(members, at)
         }
     }
 
-    /// Tells whether a member owns or witnesses the shard.
-    pub fn names(&self, member: &Member) -> bool {
+    /// Returns whether a member is the owner or the witness.
+    pub fn includes(&self, member: &Member) -> bool {
         self.owner == *member || self.witness.as_ref() == Some(member)
     }
 }
 
-/// Who is to own and witness a shard.
+/// Members to be named in a new view.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Members {
     /// The owner.
     pub owner: Member,
-    /// The witness, if one can be had.
+    /// The witness, if one is available.
     pub witness: Option<Member>,
-    /// The revision of the live list that holds both.
+    /// Revision of the live list that contains both.
     pub list_revision: u64,
 }
--- a/tests/claim_exploration.rs
+++ b/tests/claim_exploration.rs
@@ -1,10 +1,10 @@
-//! Explores the claims' state machine exhaustively: two attempts at one key, three
-//! agents, and every order of messages, takeovers, lost answers and restarts to a depth.
+//! Explores the state machine of claims exhaustively, with two attempts at one key and three
+//! agents: every order of messages, takeovers, lost responses and restarts up to a depth.
 //!
-//! A frozen agent is one that takes no step for a while, so freezes are among the
-//! orders. `GATEPIER_EXPLORE_DEPTH` sets the depth.
+//! The orders include frozen agents, since a frozen agent takes no step for a while.
+//! `GATEPIER_EXPLORE_DEPTH` sets the depth in steps.
 
-use gatepier::claim::message::{Change, ReplicaMessage};
+use gatepier::claim::message::{ClaimChange, ReplicaMessage};
 use gatepier::claim::replica::{ClaimStep, Replica};
 use gatepier::claim::view::{Epoch, Member, Members, ShardId, View};
 use gatepier::claim::{AttemptId, ClaimKey, ClaimReply};
@@ -15,17 +15,17 @@
 
 const AGENTS: usize = 3;
 const ATTEMPTS: usize = 2;
-const DEFAULT_DEPTH: usize = 7;
+const DEFAULT_DEPTH_STEPS: usize = 7;
 const NOW: Now = Now {
     monotonic: Duration::from_secs(1),
     wall: WallTime(1_000_000),
 };
 
-/// A message under way; it may come late or never.
+/// A message in flight. It may be delivered late or never.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-enum Message {
+enum InFlight {
     Replicate(Box<ReplicaMessage>),
-    HoldAck {
+    ClaimAck {
         owner: Member,
         epoch: Epoch,
         attempt: usize,
@@ -39,20 +39,20 @@
     },
 }
 
-/// How far an attempt has come, as its router sees it.
+/// State of an attempt, as its router sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-enum Attempt {
+enum AttemptState {
     Idle,
-    Asked,
+    Waiting,
     Granted,
     Refused,
 }
 
-/// A write to the store whose answer has not come to its writer.
+/// A write to the store whose response has not reached the writer.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Write {
+struct StoreWrite {
     agent: usize,
-    expected: Epoch,
+    expected_epoch: Epoch,
     view: View,
 }
 
@@ -61,9 +61,9 @@
     incarnations: [u64; AGENTS],
     replicas: [Replica; AGENTS],
     stored: View,
-    writes: Vec<Write>,
-    messages: Vec<Message>,
-    attempts: [Attempt; ATTEMPTS],
+    writes: Vec<StoreWrite>,
+    messages: Vec<InFlight>,
+    attempts: [AttemptState; ATTEMPTS],
     restarts_left: u8,
     view_changes_left: u8,
 }
@@ -97,7 +97,7 @@
             hall: "ikeja".to_owned(),
             index: 0,
         };
-        let stored = View::first(shard, members, NOW.wall);
+        let stored = View::initial(shard, members, NOW.wall);
         let mut replicas = [0, 1, 2].map(|agent| Replica::new(member(agent, 1)));
         for replica in &mut replicas {
             replica.apply_view(&stored);
@@ -105,14 +105,14 @@
         for part in replicas[0].sync_parts() {
             replicas[1].receive(part, NOW).unwrap();
         }
-        replicas[0].synced(stored.epoch);
+        replicas[0].mark_witness_synced(stored.epoch);
         Self {
             incarnations: [1; AGENTS],
             replicas,
             stored,
             writes: Vec::new(),
             messages: Vec::new(),
-            attempts: [Attempt::Idle; ATTEMPTS],
+            attempts: [AttemptState::Idle; ATTEMPTS],
             restarts_left,
             view_changes_left,
         }
@@ -130,7 +130,7 @@
         self.agent_of(member).is_none()
     }
 
-    fn send(&mut self, message: Message) {
+    fn send(&mut self, message: InFlight) {
         if !self.messages.contains(&message) {
             self.messages.push(message);
         }
@@ -138,26 +138,26 @@
 
     fn reply(&mut self, attempt: usize, reply: &ClaimReply) {
         self.attempts[attempt] = match reply {
-            ClaimReply::Granted => Attempt::Granted,
-            _ => Attempt::Refused,
+            ClaimReply::Granted => AttemptState::Granted,
+            _ => AttemptState::Refused,
         };
         if matches!(reply, ClaimReply::NotNow(_)) {
-            self.send(Message::Release { attempt });
+            self.send(InFlight::Release { attempt });
         }
     }
 
-    /// Returns all worlds that one step leads to.
+    /// Returns all worlds that are one step away.
     fn successors(&self) -> Vec<Self> {
         let mut next = Vec::new();
         for agent in 0..AGENTS {
-            self.ask(agent, &mut next);
-            self.give_up(agent, &mut next);
+            self.start_claim(agent, &mut next);
+            self.time_out(agent, &mut next);
             self.sync(agent, &mut next);
-            self.read_view(agent, &mut next);
+            self.read_stored_view(agent, &mut next);
             self.change_view(agent, &mut next);
             self.restart(agent, &mut next);
         }
-        self.without_delays(&mut next);
+        self.step_without_delays(&mut next);
         for position in 0..self.messages.len() {
             self.deliver(position, &mut next);
         }
@@ -167,26 +167,26 @@
         next
     }
 
-    fn ask(&self, agent: usize, next: &mut Vec<Self>) {
-        let waiting = (0..ATTEMPTS).filter(|attempt| self.attempts[*attempt] == Attempt::Idle);
-        // The attempts are alike, so only the first that waits is tried.
-        for attempt in waiting.take(1) {
+    fn start_claim(&self, agent: usize, next: &mut Vec<Self>) {
+        let idle = (0..ATTEMPTS).filter(|attempt| self.attempts[*attempt] == AttemptState::Idle);
+        // The attempts are interchangeable, so only the first idle one starts.
+        for attempt in idle.take(1) {
             let mut world = self.clone();
-            world.attempts[attempt] = Attempt::Asked;
+            world.attempts[attempt] = AttemptState::Waiting;
             match world.replicas[agent].claim(&key(), attempt_id(attempt), NOW) {
-                ClaimStep::Answer(reply) => world.reply(attempt, &reply),
-                ClaimStep::Ask(message) => world.send(Message::Replicate(message)),
+                ClaimStep::Reply(reply) => world.reply(attempt, &reply),
+                ClaimStep::Replicate(message) => world.send(InFlight::Replicate(message)),
             }
             next.push(world);
         }
     }
 
-    /// The router's or the owner's patience ends.
-    fn give_up(&self, agent: usize, next: &mut Vec<Self>) {
+    /// An attempt times out at its router or at the owner.
+    fn time_out(&self, agent: usize, next: &mut Vec<Self>) {
         for attempt in 0..ATTEMPTS {
-            if self.attempts[attempt] == Attempt::Asked && self.replicas[agent].is_owner() {
+            if self.attempts[attempt] == AttemptState::Waiting && self.replicas[agent].is_owner() {
                 let mut world = self.clone();
-                world.replicas[agent].give_up(&key(), attempt_id(attempt));
+                world.replicas[agent].abort_attempt(&key(), attempt_id(attempt));
                 world.reply(attempt, &ClaimReply::NotNow(String::new()));
                 next.push(world);
             }
@@ -197,13 +197,13 @@
         if self.replicas[agent].needs_sync() {
             let mut world = self.clone();
             for part in world.replicas[agent].sync_parts() {
-                world.send(Message::Replicate(Box::new(part)));
+                world.send(InFlight::Replicate(Box::new(part)));
             }
             next.push(world);
         }
     }
 
-    fn read_view(&self, agent: usize, next: &mut Vec<Self>) {
+    fn read_stored_view(&self, agent: usize, next: &mut Vec<Self>) {
         if self.replicas[agent].view() != Some(&self.stored) {
             let mut world = self.clone();
             let stored = world.stored.clone();
@@ -212,7 +212,7 @@
         }
     }
 
-    /// An agent sends off a write of the next view.
+    /// An agent sends a write of the next view to the store.
     fn change_view(&self, agent: usize, next: &mut Vec<Self>) {
         if self.view_changes_left == 0 || self.replicas[agent].view() != Some(&self.stored) {
             return;
@@ -229,9 +229,9 @@
                 continue;
             };
             world.view_changes_left -= 1;
-            world.writes.push(Write {
+            world.writes.push(StoreWrite {
                 agent,
-                expected: self.stored.epoch,
+                expected_epoch: self.stored.epoch,
                 view,
             });
             next.push(world);
@@ -247,24 +247,24 @@
                 unsynced || self.is_gone(witness)
             });
         if lost {
-            return Some(stored.succeeded_after_loss(members, NOW.wall));
+            return Some(stored.successor_after_loss(members, NOW.wall));
         }
         if stored.owner == self.member(agent) {
             let replaced = members.witness != stored.witness;
-            return replaced.then(|| stored.succeeded_by(members, NOW.wall));
+            return replaced.then(|| stored.successor(members, NOW.wall));
         }
         self.replicas[agent].begin_takeover(members, NOW.wall)
     }
 
-    /// A write reaches the store; its answer comes or is lost.
+    /// A write reaches the store. Its response arrives or is lost.
     fn apply_write(&self, position: usize, next: &mut Vec<Self>) {
-        for answered in [true, false] {
+        for is_answered in [true, false] {
             let mut world = self.clone();
             let write = world.writes.remove(position);
-            if world.stored.epoch == write.expected {
+            if world.stored.epoch == write.expected_epoch {
                 world.stored = write.view;
             }
-            if answered {
+            if is_answered {
                 let stored = world.stored.clone();
                 world.replicas[write.agent].apply_view(&stored);
             }
@@ -272,21 +272,21 @@
         }
     }
 
-    /// Steps that usually follow each other at once, as one step, so that long stories
-    /// fit into the depth too.
-    fn without_delays(&self, next: &mut Vec<Self>) {
+    /// Combines steps that usually follow each other immediately into one step, so that the depth
+    /// covers long sequences too.
+    fn step_without_delays(&self, next: &mut Vec<Self>) {
         for agent in 0..AGENTS {
-            let mut asked = Vec::new();
-            self.ask(agent, &mut asked);
-            self.sync(agent, &mut asked);
-            next.extend(asked.into_iter().map(Self::deliver_all));
+            let mut claimed = Vec::new();
+            self.start_claim(agent, &mut claimed);
+            self.sync(agent, &mut claimed);
+            next.extend(claimed.into_iter().map(Self::deliver_all));
             let mut changed = Vec::new();
             self.change_view(agent, &mut changed);
-            next.extend(changed.into_iter().map(Self::apply_all));
+            next.extend(changed.into_iter().map(Self::apply_newest_write));
         }
     }
 
-    /// Delivers all messages and those that follow from them.
+    /// Delivers all messages, including those sent in response.
     fn deliver_all(mut self) -> Self {
         while !self.messages.is_empty() {
             let mut delivered = Vec::new();
@@ -301,10 +301,10 @@
         self
     }
 
-    /// Lets the newest write reach the store, and everybody hear of it.
-    fn apply_all(mut self) -> Self {
+    /// Applies the newest write to the store and the stored view to all replicas.
+    fn apply_newest_write(mut self) -> Self {
         if let Some(write) = self.writes.pop()
-            && self.stored.epoch == write.expected
+            && self.stored.epoch == write.expected_epoch
         {
             self.stored = write.view;
         }
@@ -321,7 +321,7 @@
             world.restarts_left -= 1;
             world.incarnations[agent] += 1;
             world.replicas[agent] = Replica::new(world.member(agent));
-            // A write of the agent's past life may still reach the store.
+            // A write of the previous incarnation may still reach the store.
             next.push(world);
         }
     }
@@ -329,8 +329,8 @@
     fn deliver(&self, position: usize, next: &mut Vec<Self>) {
         let mut world = self.clone();
         match world.messages.remove(position) {
-            Message::Replicate(message) => world.receive(*message),
-            Message::HoldAck {
+            InFlight::Replicate(message) => world.receive(*message),
+            InFlight::ClaimAck {
                 owner,
                 epoch,
                 attempt,
@@ -338,29 +338,29 @@
                 let Some(agent) = world.agent_of(&owner) else {
                     return;
                 };
-                if world.attempts[attempt] != Attempt::Asked {
+                if world.attempts[attempt] != AttemptState::Waiting {
                     return;
                 }
                 let id = attempt_id(attempt);
-                let reply = world.replicas[agent].acknowledged(epoch, &key(), id, NOW);
+                let reply = world.replicas[agent].handle_claim_ack(epoch, &key(), id, NOW);
                 if reply != ClaimReply::Granted {
-                    world.replicas[agent].give_up(&key(), id);
+                    world.replicas[agent].abort_attempt(&key(), id);
                 }
                 world.reply(attempt, &reply);
             }
-            Message::SyncAck { owner, epoch } => {
+            InFlight::SyncAck { owner, epoch } => {
                 let Some(agent) = world.agent_of(&owner) else {
                     return;
                 };
-                world.replicas[agent].synced(epoch);
+                world.replicas[agent].mark_witness_synced(epoch);
             }
-            Message::Release { attempt } => {
+            InFlight::Release { attempt } => {
                 let owner = (0..AGENTS).find(|agent| world.replicas[*agent].is_owner());
                 let message = owner
                     .and_then(|owner| world.replicas[owner].release(&key(), attempt_id(attempt)));
                 message
                     .into_iter()
-                    .for_each(|message| world.send(Message::Replicate(Box::new(message))));
+                    .for_each(|message| world.send(InFlight::Replicate(Box::new(message))));
             }
         }
         next.push(world);
@@ -372,15 +372,15 @@
         };
         let (owner, epoch) = (message.from.clone(), message.epoch);
         let ack = match &message.change {
-            Change::Hold { attempt, .. } => {
+            ClaimChange::Claim { attempt, .. } => {
                 let attempt = usize::try_from(attempt.0).unwrap();
-                Some(Message::HoldAck {
+                Some(InFlight::ClaimAck {
                     owner,
                     epoch,
                     attempt,
                 })
             }
-            Change::Sync { last: true, .. } => Some(Message::SyncAck { owner, epoch }),
+            ClaimChange::SyncPart { is_last: true, .. } => Some(InFlight::SyncAck { owner, epoch }),
             _ => None,
         };
         if self.replicas[agent].receive(message, NOW).is_ok() {
@@ -388,10 +388,10 @@
         }
     }
 
-    fn runs(&self) -> usize {
+    fn granted_count(&self) -> usize {
         self.attempts
             .iter()
-            .filter(|attempt| **attempt == Attempt::Granted)
+            .filter(|attempt| **attempt == AttemptState::Granted)
             .count()
     }
 
@@ -416,19 +416,19 @@
     }
 }
 
-fn hash_of(message: &Message) -> u64 {
+fn hash_of(message: &InFlight) -> u64 {
     let mut hasher = DefaultHasher::new();
     message.hash(&mut hasher);
     hasher.finish()
 }
 
-/// Explores all worlds to a depth and returns how many there were.
+/// Explores all worlds up to a depth and returns their number.
 fn explore(start: World, depth: usize) -> usize {
     let mut seen = HashSet::from([start.hash_value()]);
     let mut queue = VecDeque::from([(start, 0)]);
     while let Some((world, steps)) = queue.pop_front() {
         assert!(
-            world.runs() <= 1,
+            world.granted_count() <= 1,
             "two attempts were granted after {steps} steps: {world:#?}"
         );
         if steps == depth {
@@ -447,7 +447,7 @@
     std::env::var("GATEPIER_EXPLORE_DEPTH")
         .ok()
         .and_then(|text| text.parse().ok())
-        .unwrap_or(DEFAULT_DEPTH)
+        .unwrap_or(DEFAULT_DEPTH_STEPS)
 }
 
 macro_rules! explorations {
@@ -457,7 +457,7 @@
             fn $name() {
                 let worlds = explore(World::new($restarts, $view_changes), depth());
                 println!("{}: {worlds} worlds to depth {}", stringify!($name), depth());
-                assert!(worlds > 100, "the exploration is empty");
+                assert!(worlds > 100, "the exploration found too few worlds");
             }
         )+
     };
