--- a/src/routing.rs
+++ b/src/routing.rs
@@ -1,6 +1,6 @@
-//! The decisions about one request: which version, which upstream, whether to retry.
+//! Routing decisions for a request: admission, version, upstream and retry.
 //!
-//! Everything here is a function of state, event and present time, without I/O.
+//! All of it depends only on state, event and current time, and does no I/O.
 
 pub mod admission;
 pub mod budget;
--- a/src/routing/admission.rs
+++ b/src/routing/admission.rs
@@ -1,30 +1,30 @@
-//! Fair shares: which organisation's request is admitted when capacity is short.
+//! Admission control with a guaranteed share of the capacity for each organisation.
 //!
-//! Each organisation is guaranteed its share of the requests that the upstreams take
-//! at a time. What is idle is lent, all but a reserve that lets a guarantee be
-//! honoured at once. Nothing is queued: who is not admitted is told so at once.
+//! An organisation is guaranteed its share of the requests that the upstreams run concurrently.
+//! Idle capacity is lent to other organisations, except for a reserve that lets a guaranteed
+//! request in immediately. Nothing is queued: a request without room is refused immediately.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// The part of the capacity that is never lent, so that guarantees find room.
-const RESERVE: f64 = 0.1;
+/// Fraction of the capacity that is never lent, so that guaranteed requests find room.
+const RESERVED_FRACTION: f64 = 0.1;
 
-/// Counts the admitted requests of each organisation.
+/// Tracks the admitted requests of each organisation.
 #[derive(Debug, Default)]
 pub struct Admission {
-    counts: Mutex<Counts>,
+    counts: Mutex<InFlightCounts>,
 }
 
 #[derive(Debug, Default)]
-struct Counts {
+struct InFlightCounts {
     total: u32,
     by_organisation: HashMap<String, u32>,
 }
 
 impl Admission {
-    /// Admits a request, or returns none if neither the organisation's guarantee nor
-    /// lent capacity has room.
+    /// Admits a request, or returns none if neither the organisation's guaranteed share nor the
+    /// lendable capacity has room.
     pub fn admit(
         self: &Arc<Self>,
         organisation: &str,
@@ -32,12 +32,12 @@
         capacity: u32,
     ) -> Option<Admitted> {
         let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
-        let own = counts
+        let in_flight = counts
             .by_organisation
             .get(organisation)
             .copied()
             .unwrap_or(0);
-        if !may_enter(own, counts.total, share, capacity) {
+        if !may_admit(in_flight, counts.total, share, capacity) {
             return None;
         }
         counts.total += 1;
@@ -51,29 +51,31 @@
         })
     }
 
-    fn leave(&self, organisation: &str) {
+    fn release(&self, organisation: &str) {
         let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
         counts.total -= 1;
-        if let Some(own) = counts.by_organisation.get_mut(organisation) {
-            *own -= 1;
-            if *own == 0 {
+        if let Some(in_flight) = counts.by_organisation.get_mut(organisation) {
+            *in_flight -= 1;
+            if *in_flight == 0 {
                 counts.by_organisation.remove(organisation);
             }
         }
     }
 }
 
-/// Decides whether one more request of an organisation may enter.
-pub fn may_enter(own: u32, total: u32, share: f64, capacity: u32) -> bool {
+/// Returns whether one more request of an organisation may be admitted.
+pub fn may_admit(in_flight: u32, total: u32, share: f64, capacity: u32) -> bool {
     let guaranteed = (share * f64::from(capacity)).floor();
-    if f64::from(own) < guaranteed {
+    if f64::from(in_flight) < guaranteed {
         return total < capacity;
     }
-    let lendable = (f64::from(capacity) * (1.0 - RESERVE)).floor().max(1.0);
+    let lendable = (f64::from(capacity) * (1.0 - RESERVED_FRACTION))
+        .floor()
+        .max(1.0);
     f64::from(total) < lendable
 }
 
-/// An admitted request; it makes room again when it is dropped.
+/// Permit of an admitted request; dropping it frees the capacity.
 #[derive(Debug)]
 pub struct Admitted {
     admission: Arc<Admission>,
@@ -82,6 +84,6 @@
 
 impl Drop for Admitted {
     fn drop(&mut self) {
-        self.admission.leave(&self.organisation);
+        self.admission.release(&self.organisation);
     }
 }
--- a/src/routing/budget.rs
+++ b/src/routing/budget.rs
@@ -1,42 +1,43 @@
-//! The retry budget: retries are a fraction of what succeeds, so that a failing
-//! upstream does not get a storm on top.
+//! Retry budget: retries are limited to a fraction of the successful requests, so that a failing
+//! upstream does not get a retry storm as well.
 
 use std::sync::atomic::{AtomicI64, Ordering};
 
-const RETRY_COST: i64 = 10;
-const DEPOSIT: i64 = 1;
-const MOST_SAVED: i64 = 1_000;
-const SAVED_AT_START: i64 = 100;
+const RETRY_COST_TOKENS: i64 = 10;
+const SUCCESS_DEPOSIT_TOKENS: i64 = 1;
+const MAX_TOKENS: i64 = 1_000;
+const INITIAL_TOKENS: i64 = 100;
 
-/// A router's budget of retries.
+/// Token bucket for the retries of a router, filled by successful requests.
 #[derive(Debug)]
 pub struct RetryBudget {
-    saved: AtomicI64,
+    tokens: AtomicI64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
         Self {
-            saved: AtomicI64::new(SAVED_AT_START),
+            tokens: AtomicI64::new(INITIAL_TOKENS),
         }
     }
 }
 
 impl RetryBudget {
-    /// Records a success, ten of which pay for a retry.
+    /// Adds the token of a successful request. Ten of them pay for one retry.
     pub fn deposit(&self) {
-        if self.saved.load(Ordering::Relaxed) < MOST_SAVED {
-            self.saved.fetch_add(DEPOSIT, Ordering::Relaxed);
+        if self.tokens.load(Ordering::Relaxed) < MAX_TOKENS {
+            self.tokens
+                .fetch_add(SUCCESS_DEPOSIT_TOKENS, Ordering::Relaxed);
         }
     }
 
-    /// Pays for a retry if there is enough.
+    /// Takes the tokens for one retry. Returns false if there are not enough.
     pub fn withdraw(&self) -> bool {
-        let paid = self
-            .saved
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |saved| {
-                (saved >= RETRY_COST).then(|| saved - RETRY_COST)
+        let withdrawal = self
+            .tokens
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |tokens| {
+                (tokens >= RETRY_COST_TOKENS).then(|| tokens - RETRY_COST_TOKENS)
             });
-        paid.is_ok()
+        withdrawal.is_ok()
     }
 }
--- a/src/routing/cascade.rs
+++ b/src/routing/cascade.rs
@@ -1,22 +1,22 @@
-//! At which step a cascade begins.
+//! Choice of the step at which a cascade starts.
 //!
-//! Ratings of all boxes tell how good each model's answers are for an organisation.
-//! A cascade whose gate is `learn` begins at the cheapest step whose answers are good
-//! often enough, and explores cheaper ones now and then. See `docs/design/cascades.md`.
+//! The ratings collected by all boxes estimate the quality of each model for an organisation.
+//! A cascade whose gate is `learn` starts at the cheapest step of sufficient quality, and
+//! occasionally explores the next cheaper step. See `docs/design/cascades.md`.
 
 use super::snapshot::Snapshot;
 use crate::bundle::{Cascade, Gate};
 use crate::evidence::Counts;
 use rand::Rng;
 
-/// The fewest ratings from which a step's quality is judged.
-const FEWEST_RATINGS: u64 = 20;
-/// How often an answer's step is drawn for exploration: one in this many.
+/// Minimum number of ratings from which the quality of a step is estimated.
+const MIN_RATINGS: u64 = 20;
+/// One in this many requests explores the step before the learned one.
 const EXPLORE_ONE_IN: u32 = 20;
-/// How many standard errors below its mean a step's quality is taken to be.
-const CAUTION: f64 = 1.0;
+/// Number of standard errors that are subtracted from a step's mean quality.
+const CONFIDENCE_STANDARD_ERRORS: f64 = 1.0;
 
-/// Returns the step that a request begins at, counted from zero.
+/// Returns the index of the step at which a request starts.
 pub fn first_step(
     snapshot: &Snapshot,
     organisation: &str,
@@ -26,21 +26,25 @@
     if cascade.gate == Gate::Inline {
         return 0;
     }
-    let quality = |step: &String| quality_of(snapshot, organisation, step);
+    let quality = |step: &String| quality_lower_bound(snapshot, organisation, step);
     let qualities: Vec<Option<f64>> = cascade.steps.iter().map(quality).collect();
-    let learned = learned_step(&qualities, cascade);
-    let explores = learned > 0 && rng.random_ratio(1, EXPLORE_ONE_IN);
-    if explores { learned - 1 } else { learned }
+    let learned_step = cheapest_sufficient_step(&qualities, cascade);
+    let is_exploration = learned_step > 0 && rng.random_ratio(1, EXPLORE_ONE_IN);
+    if is_exploration {
+        learned_step - 1
+    } else {
+        learned_step
+    }
 }
 
-/// Returns the cheapest step that is good enough, as far as ratings tell.
-fn learned_step(qualities: &[Option<f64>], cascade: &Cascade) -> usize {
+/// Returns the cheapest step of sufficient quality according to the ratings, or the last step.
+fn cheapest_sufficient_step(qualities: &[Option<f64>], cascade: &Cascade) -> usize {
     let last = cascade.steps.len() - 1;
     for (step, quality) in qualities.iter().enumerate() {
         match quality {
             Some(quality) if *quality >= cascade.quality => return step,
             Some(_) => {}
-            // What was never rated is trusted only where the bundle says so.
+            // A step with too few ratings is used only from the bundle's default step on.
             None if step >= cascade.default_step => return step,
             None => {}
         }
@@ -48,23 +52,23 @@
     last
 }
 
-/// Returns a cautious estimate of the part of a model's answers that are good.
+/// Returns a conservative estimate of the fraction of a model's answers that are good.
 ///
-/// As for the guard, what was rated before operators lifted a version's suspension says nothing of
-/// the version after it.
-fn quality_of(snapshot: &Snapshot, organisation: &str, model: &str) -> Option<f64> {
+/// As in the exposure guard, ratings from before operators lifted a version's suspension do not
+/// count for the version after the lift.
+fn quality_lower_bound(snapshot: &Snapshot, organisation: &str, model: &str) -> Option<f64> {
     let mut counts = Counts::default();
     for (subject, found) in snapshot.sums.iter() {
-        let is_asked_for = subject.organisation == organisation && subject.version.model == model;
-        if is_asked_for && subject.lift == snapshot.control.newest_lift(&subject.version) {
+        let is_match = subject.organisation == organisation && subject.version.model == model;
+        if is_match && subject.lift == snapshot.control.newest_lift(&subject.version) {
             counts.add(found);
         }
     }
     let rated = counts.good + counts.bad;
-    if rated < FEWEST_RATINGS {
+    if rated < MIN_RATINGS {
         return None;
     }
     let mean = counts.good as f64 / rated as f64;
     let error = (mean * (1.0 - mean) / rated as f64).sqrt();
-    Some(mean - CAUTION * error)
+    Some(mean - CONFIDENCE_STANDARD_ERRORS * error)
 }
--- a/src/routing/placement.rs
+++ b/src/routing/placement.rs
@@ -1,8 +1,8 @@
-//! Which upstream gets a request.
+//! Choice of the upstream for a request.
 //!
-//! Of two upstreams drawn at random the one with the shorter expected remaining
-//! time is taken, the session's own upstream first where it is not much busier, and
-//! the own hall first where it is not full. See `docs/design/placement.md`.
+//! Of two upstreams drawn at random, the one with the lower expected latency is chosen. The
+//! session's preferred upstream is used instead unless it is much busier, and upstreams of the
+//! router's own hall are used as long as one is available. See `docs/design/placement.md`.
 
 use super::rest::{AskedRest, Failures};
 use super::signs::Signs;
@@ -16,46 +16,48 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// How much of the newest time goes into the running mean: one part of this.
-const MEAN_PARTS: u64 = 8;
-/// How many times the best alternative's expected time a session's own upstream may take.
-const AFFINITY_BOUND: f64 = 1.5;
-const UNMEASURED_MICROS: u64 = 1_000;
+/// The newest latency contributes one part in this many to the moving average.
+const MEAN_LATENCY_DIVISOR: u64 = 8;
+/// The session's preferred upstream is used if its expected latency is at most this many times that
+/// of the best alternative.
+const MAX_AFFINITY_COST_RATIO: f64 = 1.5;
+/// Mean latency that is assumed for an upstream before its first success.
+const UNMEASURED_LATENCY_MICROS: u64 = 1_000;
 
-/// An upstream, as the live list names it.
+/// An upstream from the live list.
 #[derive(Debug, Clone)]
 pub struct Upstream {
-    /// The box's name.
+    /// Name of the box.
     pub name: String,
-    /// Its hall.
+    /// Hall of the box.
     pub hall: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// The versions that it has loaded.
+    /// Versions that it has loaded.
     pub versions: BTreeSet<VersionName>,
-    /// What this router has seen of it.
+    /// Load and failures that this router observed.
     pub load: Arc<UpstreamLoad>,
 }
 
-/// What a router has seen of an upstream, shared by its threads.
+/// Load and failures of an upstream as observed by a router, shared by its threads.
 #[derive(Debug, Default)]
 pub struct UpstreamLoad {
     outstanding: AtomicU32,
-    mean_micros: AtomicU64,
+    mean_latency_micros: AtomicU64,
     failures: Mutex<Failures>,
-    asked_rest: Mutex<AskedRest>,
-    says_it_leaves: AtomicBool,
-    /// By version, since one that fails must not make the upstream rest for the others.
+    requested_backoff: Mutex<AskedRest>,
+    is_leaving: AtomicBool,
+    /// Failures by version: a failing version must not eject the upstream for the other versions.
     versions: Mutex<HashMap<VersionName, Failures>>,
 }
 
 impl UpstreamLoad {
-    /// Takes what the head of an answer says; that it leaves is never taken back.
+    /// Applies the signals in the head of a response. Once an upstream is leaving it stays so.
     pub fn take_signs(&self, signs: Signs, now: Now) {
         if signs.leaves {
-            self.says_it_leaves.store(true, Ordering::Relaxed);
+            self.is_leaving.store(true, Ordering::Relaxed);
         }
-        let mut asked = lock(&self.asked_rest);
+        let mut asked = lock(&self.requested_backoff);
         if let Some(rest) = signs.rest {
             asked.ask(rest, now);
         }
@@ -64,68 +66,69 @@
         }
     }
 
-    /// Returns how long the upstream takes no request because it asked for rest; none if it takes
-    /// one now.
-    pub fn asked_rest_left(&self, now: Now) -> Option<Duration> {
-        lock(&self.asked_rest).left(self.outstanding(), now)
+    /// Returns how long no request may be sent because the upstream requested a backoff; none if one
+    /// may be sent now.
+    pub fn backoff_remaining(&self, now: Now) -> Option<Duration> {
+        lock(&self.requested_backoff).left(self.outstanding(), now)
     }
 
-    /// Returns the requests of this router that the upstream has not answered.
+    /// Returns the number of this router's requests that the upstream has not finished.
     pub fn outstanding(&self) -> u32 {
         self.outstanding.load(Ordering::Relaxed)
     }
 
-    /// Counts a request in; it is counted out when the guard is dropped.
+    /// Counts a request as outstanding until the guard is dropped.
     pub fn enter(self: &Arc<Self>) -> LoadGuard {
         self.outstanding.fetch_add(1, Ordering::Relaxed);
         LoadGuard { load: self.clone() }
     }
 
-    /// Records that a request succeeded, and how long it took.
+    /// Records a successful request and its latency.
     pub fn succeeded(&self, took: Duration) {
         let took = u64::try_from(took.as_micros()).unwrap_or(u64::MAX).max(1);
-        let mean = self.mean_micros.load(Ordering::Relaxed);
+        let mean = self.mean_latency_micros.load(Ordering::Relaxed);
         let next = if mean == 0 {
             took
         } else {
-            mean - mean / MEAN_PARTS + took / MEAN_PARTS
+            mean - mean / MEAN_LATENCY_DIVISOR + took / MEAN_LATENCY_DIVISOR
         };
-        self.mean_micros.store(next.max(1), Ordering::Relaxed);
+        self.mean_latency_micros
+            .store(next.max(1), Ordering::Relaxed);
         lock(&self.failures).end_row();
     }
 
-    /// Records that a request failed which had begun at a moment; after several failures in a row
-    /// the upstream rests, the longer the more there were.
+    /// Records a failed request that began at the given monotonic time. Several consecutive failures
+    /// eject the upstream, for a time that grows with their number.
     pub fn failed(&self, began: Duration, now: Now) {
         lock(&self.failures).add(began, now);
     }
 
-    /// Records that a version answered, whole.
+    /// Records that a version gave a complete answer.
     pub fn version_succeeded(&self, version: &VersionName) {
         lock(&self.versions).remove(version);
     }
 
-    /// Records that a version failed here while the upstream itself answered.
+    /// Records that a version failed although the upstream itself responded.
     pub fn version_failed(&self, version: &VersionName, began: Duration, now: Now) {
         let mut versions = lock(&self.versions);
         versions.entry(version.clone()).or_default().add(began, now);
     }
 
-    fn version_rests(&self, version: &VersionName, now: Now) -> bool {
+    fn is_version_ejected(&self, version: &VersionName, now: Now) -> bool {
         let versions = lock(&self.versions);
         versions
             .get(version)
             .is_some_and(|failures| failures.rests(now))
     }
 
-    /// Tells whether the upstream rests after failures.
-    pub fn rests(&self, now: Now) -> bool {
+    /// Returns whether the upstream is ejected after failures.
+    pub fn is_ejected(&self, now: Now) -> bool {
         lock(&self.failures).rests(now)
     }
 
-    fn expected_micros(&self) -> f64 {
-        let mean = match self.mean_micros.load(Ordering::Relaxed) {
-            0 => UNMEASURED_MICROS,
+    fn expected_latency_micros(&self) -> f64 {
+        let mean = match self.mean_latency_micros.load(Ordering::Relaxed) {
+            0 => UNMEASURED_LATENCY_MICROS,
             mean => mean,
         };
         (f64::from(self.outstanding()) + 1.0) * mean as f64
@@ -136,7 +139,7 @@
     shared.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Counts a request out of its upstream when it ends, however it ends.
+/// Counts a request as outstanding at its upstream until dropped, however the request ends.
 #[derive(Debug)]
 pub struct LoadGuard {
     load: Arc<UpstreamLoad>,
@@ -148,33 +151,33 @@
     }
 }
 
-/// What placement asks of a request.
+/// Properties of a request on which the choice of an upstream depends.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementQuery<'a> {
-    /// The router's hall.
+    /// Hall of the router.
     pub hall: &'a str,
-    /// What binds requests to an upstream, such as the session's id; none binds nothing.
+    /// Key that assigns related requests to the same upstream, such as the session id, if any.
     pub affinity: Option<&'a str>,
-    /// How many requests one upstream is given at a time by this router.
+    /// Maximum number of outstanding requests of this router at one upstream.
     pub limit: u32,
-    /// The version that is to run; none for a plain service.
+    /// Version that runs the request; none for a plain service.
     pub version: Option<&'a VersionName>,
-    /// Upstreams that were tried in vain already.
+    /// Names of upstreams at which the request already failed.
     pub tried: &'a [String],
 }
 
-/// Returns when the first of some upstreams has rested as it asked; none if one takes requests now,
-/// or none is left.
+/// Returns the shortest remaining backoff that candidates requested; none if a candidate accepts
+/// requests now, or if all are leaving.
 pub fn first_rested(candidates: &[&Upstream], now: Now) -> Option<Duration> {
-    let staying = candidates
+    let not_leaving = candidates
         .iter()
-        .filter(|upstream| !upstream.load.says_it_leaves.load(Ordering::Relaxed));
-    // An upstream that does not rest has no time left, and that is the least.
-    let rests = staying.map(|upstream| upstream.load.asked_rest_left(now));
-    rests.min().flatten()
+        .filter(|upstream| !upstream.load.is_leaving.load(Ordering::Relaxed));
+    // `None`, for an upstream without a backoff, is less than any duration.
+    let backoffs = not_leaving.map(|upstream| upstream.load.backoff_remaining(now));
+    backoffs.min().flatten()
 }
 
-/// Chooses an upstream among candidates.
+/// Chooses one of the candidates.
 pub fn choose_upstream<'a>(
     candidates: &[&'a Upstream],
     query: PlacementQuery<'_>,
@@ -183,38 +186,42 @@
 ) -> Option<&'a Upstream> {
     let usable = |upstream: &&&Upstream| {
         upstream.load.outstanding() < query.limit
-            && !upstream.load.rests(now)
-            && !upstream.load.says_it_leaves.load(Ordering::Relaxed)
-            && upstream.load.asked_rest_left(now).is_none()
+            && !upstream.load.is_ejected(now)
+            && !upstream.load.is_leaving.load(Ordering::Relaxed)
+            && upstream.load.backoff_remaining(now).is_none()
             && !query
                 .version
-                .is_some_and(|version| upstream.load.version_rests(version, now))
+                .is_some_and(|version| upstream.load.is_version_ejected(version, now))
             && !query.tried.contains(&upstream.name)
     };
     let usable: Vec<&Upstream> = candidates.iter().filter(usable).copied().collect();
-    let near: Vec<&Upstream> = usable
+    let in_own_hall: Vec<&Upstream> = usable
         .iter()
         .filter(|upstream| upstream.hall == query.hall)
         .copied()
         .collect();
-    let pool = if near.is_empty() { &usable } else { &near };
+    let pool = if in_own_hall.is_empty() {
+        &usable
+    } else {
+        &in_own_hall
+    };
     let best = pool.choose_multiple(rng, 2).min_by(|a, b| {
         a.load
-            .expected_micros()
-            .total_cmp(&b.load.expected_micros())
+            .expected_latency_micros()
+            .total_cmp(&b.load.expected_latency_micros())
     })?;
-    let own = query
+    let preferred = query
         .affinity
-        .and_then(|affinity| affine_upstream(pool, affinity));
-    let bound = best.load.expected_micros() * AFFINITY_BOUND;
-    match own {
-        Some(own) if own.load.expected_micros() <= bound => Some(own),
+        .and_then(|affinity| affinity_upstream(pool, affinity));
+    let max_cost = best.load.expected_latency_micros() * MAX_AFFINITY_COST_RATIO;
+    match preferred {
+        Some(preferred) if preferred.load.expected_latency_micros() <= max_cost => Some(preferred),
         _ => Some(best),
     }
 }
 
-/// Returns the upstream that rendezvous hashing gives to a session.
-fn affine_upstream<'a>(pool: &[&'a Upstream], affinity: &str) -> Option<&'a Upstream> {
+/// Returns the upstream that rendezvous hashing assigns to an affinity key.
+fn affinity_upstream<'a>(pool: &[&'a Upstream], affinity: &str) -> Option<&'a Upstream> {
     let seed = xxhash_rust::xxh3::xxh3_64(affinity.as_bytes());
     let weight = |upstream: &&&Upstream| {
         xxhash_rust::xxh3::xxh3_64_with_seed(upstream.name.as_bytes(), seed)
--- a/src/routing/signs.rs
+++ b/src/routing/signs.rs
@@ -1,4 +1,4 @@
-//! What the head of an answer says of its upstream, beside the answer itself.
+//! Signals in the head of a response about the state of the upstream: leaving or overloaded.
 
 use crate::clock::WallTime;
 use crate::retry_after;
@@ -6,37 +6,39 @@
 
 const TOO_MANY_REQUESTS: u16 = 429;
 const UNAVAILABLE: u16 = 503;
-/// The value by which an upstream says that it does not leave.
+/// Value of the leaving header of an upstream that is not leaving.
 const NOT_LEAVING: &str = "0";
 
-/// Whether an upstream leaves or wants rest, as the head of one of its answers says.
+/// Signals about the state of an upstream from the head of one of its responses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Signs {
-    /// It takes no more work and will end.
+    /// Whether the upstream accepts no more work and is about to stop.
     pub leaves: bool,
-    /// Whether it turned the request away for its own load.
+    /// Whether the upstream refused the request with 429 or 503.
     pub is_refusal: bool,
-    /// For how long it wants nothing from whoever asked.
+    /// Backoff that a refusal requests by `Retry-After`.
     pub rest: Option<Duration>,
 }
 
-/// The parts of an answer's head in which signs stand.
+/// Response headers that contain signals.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct SignHeaders<'a> {
-    /// The header by which an upstream says that it leaves.
+    /// Value of the header by which an upstream announces that it is leaving.
     pub leaving: Option<&'a str>,
-    /// `Retry-After`.
+    /// Value of `Retry-After`.
     pub retry_after: Option<&'a str>,
 }
 
 impl Signs {
-    /// Reads the signs of an answer with a status.
+    /// Reads the signals of a response with the given status.
     pub fn read(status: u16, headers: SignHeaders<'_>, now: WallTime) -> Self {
         let is_refusal = matches!(status, TOO_MANY_REQUESTS | UNAVAILABLE);
         let asked = headers.retry_after.filter(|_| is_refusal);
         let rest = asked.and_then(|text| retry_after::parse(text, now));
         if let (Some(text), None) = (asked, rest) {
-            log::debug!("an upstream asked for no rest by `{text}`");
+            log::debug!(
+                "ignoring the Retry-After `{text}` of an upstream: invalid or no time left"
+            );
         }
         let leaving = headers.leaving.map(str::trim);
         Self {
--- a/src/routing/snapshot.rs
+++ b/src/routing/snapshot.rs
@@ -1,4 +1,4 @@
-//! What a router knows at one moment, replaced as a whole when anything changes.
+//! State that a router uses for its decisions, replaced as a whole on each change.
 
 use crate::bundle::Bundle;
 use crate::change::{ControlState, Generation};
@@ -10,60 +10,60 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What a router knows.
+/// Control state, live upstreams and evidence that a router knows at one time.
 #[derive(Debug, Clone, Default)]
 pub struct Snapshot {
-    /// The generation of the change log.
+    /// Generation of the newest entry of the change log.
     pub generation: Generation,
-    /// The state after the newest entry.
+    /// Control state after the newest entry.
     pub control: ControlState,
-    /// The bundle in force.
+    /// Bundle in force.
     pub bundle: Option<Arc<Bundle>>,
-    /// The versions that the exposure guard suspended.
+    /// Versions that the exposure guard suspended.
     pub suspended: BTreeSet<VersionName>,
-    /// The upstreams by service, leaving ones left out.
+    /// Upstreams by service, without leaving ones.
     pub upstreams: HashMap<String, Vec<Upstream>>,
-    /// Whether a live list has come yet.
-    pub has_list: bool,
-    /// What all boxes together have seen of versions.
+    /// Whether a live list has been received.
+    pub has_live_list: bool,
+    /// Sums of the evidence about versions from all boxes.
     pub sums: Arc<BTreeMap<Subject, Counts>>,
 }
 
 impl Snapshot {
-    /// Tells whether enough is known to serve.
+    /// Returns whether enough is known to serve requests.
     pub fn is_ready(&self) -> bool {
-        self.bundle.is_some() && self.has_list
+        self.bundle.is_some() && self.has_live_list
     }
 
-    /// Takes a live list; the loads of upstreams that stay are kept. One at another address is
-    /// another upstream, though it has the name of one before.
+    /// Applies a live list and keeps the load of upstreams that were in the previous one. An upstream
+    /// at another address is a new one, even if its name is the same.
     pub fn take_list(&mut self, list: &LiveList) {
         let mut loads: HashMap<(String, SocketAddr), Arc<UpstreamLoad>> = HashMap::new();
         for upstream in self.upstreams.values().flatten() {
-            let place = (upstream.name.clone(), upstream.address);
-            loads.insert(place, upstream.load.clone());
+            let key = (upstream.name.clone(), upstream.address);
+            loads.insert(key, upstream.load.clone());
         }
         self.upstreams.clear();
-        for listed in list
+        for entry in list
             .boxes
             .iter()
-            .filter(|listed| listed.state == BoxState::Live)
+            .filter(|entry| entry.state == BoxState::Live)
         {
-            let place = (listed.name.clone(), listed.address);
-            let load = loads.remove(&place).unwrap_or_default();
+            let key = (entry.name.clone(), entry.address);
+            let load = loads.remove(&key).unwrap_or_default();
             let upstream = Upstream {
-                name: listed.name.clone(),
-                hall: listed.hall.clone(),
-                address: listed.address,
-                versions: listed.versions.clone(),
+                name: entry.name.clone(),
+                hall: entry.hall.clone(),
+                address: entry.address,
+                versions: entry.versions.clone(),
                 load,
             };
             self.upstreams
-                .entry(listed.service.clone())
+                .entry(entry.service.clone())
                 .or_default()
                 .push(upstream);
         }
-        self.has_list = true;
+        self.has_live_list = true;
     }
 
     /// Returns the upstreams that have a version loaded.
@@ -74,14 +74,14 @@
             .collect()
     }
 
-    /// Returns the agents of all boxes but one.
+    /// Returns the agents of all other boxes.
     pub fn other_agents(&self, own_box: &str) -> Vec<&Upstream> {
         let mut agents = self.upstreams_of(AGENT_SERVICE);
         agents.retain(|found| found.name != own_box);
         agents
     }
 
-    /// Tells whether an agent of the fleet listens at an address.
+    /// Returns whether an agent of the fleet listens at an address.
     pub fn has_agent_at(&self, address: SocketAddr) -> bool {
         self.upstreams_of(AGENT_SERVICE)
             .iter()
--- a/src/routing/versions.rs
+++ b/src/routing/versions.rs
@@ -1,7 +1,7 @@
-//! Which version of a model serves a request.
+//! Choice of the model version that serves a request.
 //!
-//! This is asked anew before each dispatch, each retry and each step of a cascade,
-//! so that a version withdrawn meanwhile gets nothing more.
+//! The choice is repeated before each dispatch, retry and cascade step, so that a version
+//! withdrawn in the meantime gets no more requests.
 
 use super::snapshot::Snapshot;
 use crate::bundle::Model;
@@ -10,24 +10,25 @@
 use crate::session::Session;
 use std::fmt;
 
-const HUNDREDTHS: u64 = 100;
+/// Sessions are spread evenly over this many positions in a roll-out.
+const ROLLOUT_PERCENTILES: u64 = 100;
 
-/// What ruled a version out.
+/// Why a version does not serve a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RuledOut {
-    /// The organisation does not allow it.
+pub enum ExclusionReason {
+    /// The version is not in the organisation's list of allowed versions.
     NotAllowed,
-    /// Operators withdrew it.
+    /// Operators withdrew the version.
     Withdrawn,
-    /// The exposure guard suspended it.
+    /// The exposure guard suspended the version.
     Suspended,
-    /// Its dates do not let it serve now.
+    /// The current time is outside the version's dates of service.
     NotInService,
     /// Another version serves this session.
     NotChosen,
 }
 
-impl fmt::Display for RuledOut {
+impl fmt::Display for ExclusionReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::NotAllowed => "not allowed to the organisation",
@@ -39,44 +40,44 @@
     }
 }
 
-/// The versions of a model that were weighed, and the one that serves.
+/// The versions of a model that were considered, and the chosen one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VersionChoice {
-    /// The version that serves, if any may.
+    /// The version that serves the request, if any may.
     pub chosen: Option<VersionName>,
-    /// Each version with what ruled it out.
-    pub weighed: Vec<(VersionName, Option<RuledOut>)>,
+    /// Each version with the reason for its exclusion; none for the chosen one.
+    pub weighed: Vec<(VersionName, Option<ExclusionReason>)>,
 }
 
-/// Returns what forbids a version to an organisation at this moment, if anything does.
+/// Returns why an organisation may not use a version now, or none if it may.
 pub fn ruled_out(
     snapshot: &Snapshot,
     organisation: &str,
     version: &VersionName,
     now: Now,
-) -> Option<RuledOut> {
+) -> Option<ExclusionReason> {
     let bundle = snapshot.bundle.as_ref()?;
     let allowed = bundle.organisations.get(organisation);
     if !allowed.is_some_and(|organisation| organisation.allow.contains(version)) {
-        return Some(RuledOut::NotAllowed);
+        return Some(ExclusionReason::NotAllowed);
     }
     if snapshot.control.withdrawn.contains(version) {
-        return Some(RuledOut::Withdrawn);
+        return Some(ExclusionReason::Withdrawn);
     }
     if snapshot.suspended.contains(version) {
-        return Some(RuledOut::Suspended);
+        return Some(ExclusionReason::Suspended);
     }
     let in_service = bundle
         .version(version)
         .is_some_and(|found| found.is_in_service(now.wall));
-    (!in_service).then_some(RuledOut::NotInService)
+    (!in_service).then_some(ExclusionReason::NotInService)
 }
 
 /// Chooses the version of a model that serves a session.
 ///
-/// The session's own version comes first as long as it may run. Else the session's
-/// id decides by the stage of the roll-out, so that a session whose token was lost
-/// mostly gets the same answer again.
+/// The version recorded in the session is kept as long as it may run. Otherwise the hash of the
+/// session id is compared with the percentage of the roll-out, so that a session whose token was
+/// lost mostly gets the same version again.
 pub fn choose_version(
     snapshot: &Snapshot,
     organisation: &str,
@@ -98,7 +99,7 @@
         model: model_name.to_owned(),
         version: version.to_owned(),
     };
-    let mut weighed: Vec<(VersionName, Option<RuledOut>)> = model
+    let mut weighed: Vec<(VersionName, Option<ExclusionReason>)> = model
         .versions
         .keys()
         .map(|version| name(version))
@@ -107,29 +108,29 @@
             (version, ruled_out)
         })
         .collect();
-    let may_run = |wanted: &VersionName| {
+    let may_run = |candidate: &VersionName| {
         weighed
             .iter()
-            .any(|(version, ruled_out)| version == wanted && ruled_out.is_none())
+            .any(|(version, ruled_out)| version == candidate && ruled_out.is_none())
     };
-    let by_stage = preference(snapshot, model, model_name, session)
+    let by_rollout = versions_by_preference(snapshot, model, model_name, session)
         .into_iter()
         .map(name);
     let chosen = session
         .version_of(model_name)
         .into_iter()
-        .chain(by_stage)
+        .chain(by_rollout)
         .find(may_run);
     for (version, ruled_out) in &mut weighed {
         if ruled_out.is_none() && chosen.as_ref() != Some(version) {
-            *ruled_out = Some(RuledOut::NotChosen);
+            *ruled_out = Some(ExclusionReason::NotChosen);
         }
     }
     VersionChoice { chosen, weighed }
 }
 
-/// Returns a model's versions in the order in which a new session is offered them.
-fn preference<'a>(
+/// Returns the versions of a model in order of preference for a new session.
+fn versions_by_preference<'a>(
     snapshot: &'a Snapshot,
     model: &'a Model,
     model_name: &str,
@@ -142,19 +143,19 @@
     let Some(rollout) = rollout else {
         return vec![incumbent];
     };
-    let rolled = rollout.to.as_str();
-    if stage_position(&session.id, model_name) < u64::from(rollout.percent) {
-        vec![rolled, incumbent]
+    let target = rollout.to.as_str();
+    if rollout_percentile(&session.id, model_name) < u64::from(rollout.percent) {
+        vec![target, incumbent]
     } else if rollout.percent == 0 {
-        // A roll-out that was taken back to nothing must not catch anybody.
+        // A roll-out that was taken back to zero percent must not get any new session.
         vec![incumbent]
     } else {
-        vec![incumbent, rolled]
+        vec![incumbent, target]
     }
 }
 
-/// Returns a session's position in a model's roll-out, from 0 to 99.
-fn stage_position(session_id: &str, model_name: &str) -> u64 {
+/// Returns the position of a session in the roll-out of a model, from 0 to 99.
+fn rollout_percentile(session_id: &str, model_name: &str) -> u64 {
     let seed = xxhash_rust::xxh3::xxh3_64(model_name.as_bytes());
-    xxhash_rust::xxh3::xxh3_64_with_seed(session_id.as_bytes(), seed) % HUNDREDTHS
+    xxhash_rust::xxh3::xxh3_64_with_seed(session_id.as_bytes(), seed) % ROLLOUT_PERCENTILES
 }
