--- a/src/gateway/attempt/exchange.rs
+++ b/src/gateway/attempt/exchange.rs
@@ -10,7 +10,7 @@
 use super::upstream::{Unread, Upstream};
 use crate::clock::Now;
 use crate::routing::placement::LoadGuard;
-use crate::routing::signs::{SignHeaders, Signs};
+use crate::routing::signals::{ResponseSignals, SignalHeaders};
 use bytes::Bytes;
 use http::header::RETRY_AFTER;
 use http_body_util::{BodyExt as _, Full};
@@ -271,11 +271,11 @@
     if status == MISDIRECTED {
         return Tried::NotRun(NotRun::OtherInstance);
     }
-    let signs = SignHeaders {
+    let signs = SignalHeaders {
         leaving: text(&headers.leaving),
         retry_after: text(&RETRY_AFTER),
     };
-    upstream.take_signs(Signs::read(status, signs, now.wall), now);
+    upstream.take_signs(ResponseSignals::read(status, signs, now.wall), now);
     if text(&headers.not_executed).is_some() {
         return Tried::NotRun(NotRun::Refused(status));
     }
--- a/src/gateway/attempt/upstream.rs
+++ b/src/gateway/attempt/upstream.rs
@@ -5,9 +5,9 @@
 use crate::gateway::control::store::{ListedUpstream, UpstreamLife};
 use crate::gateway::place::choose::draw;
 use crate::gateway::place::warm_up::{Fleet, WarmUp, WarmingUp};
+use crate::routing::backoff::RequestedBackoff;
 use crate::routing::placement::{LoadGuard, UpstreamLoad};
-use crate::routing::rest::AskedRest;
-use crate::routing::signs::Signs;
+use crate::routing::signals::ResponseSignals;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -52,7 +52,7 @@
     elsewhere: Cell<Elsewhere>,
     heard_at: Cell<Duration>,
     says_it_leaves: Cell<bool>,
-    asked_rest: Cell<AskedRest>,
+    asked_rest: Cell<RequestedBackoff>,
     warming_up: Cell<WarmingUp>,
     is_evacuated: Cell<bool>,
 }
@@ -187,7 +187,7 @@
 
     /// Counts a request in until the guard is dropped.
     pub fn enter(&self) -> LoadGuard {
-        self.load.enter()
+        self.load.track_request()
     }
 
     /// Returns this box's requests that the upstream has not finished.
@@ -320,11 +320,11 @@
     }
 
     /// Takes what the head of an answer says; that it leaves is never taken back.
-    pub fn take_signs(&self, signs: Signs, now: Now) {
-        if signs.leaves {
+    pub fn take_signs(&self, signs: ResponseSignals, now: Now) {
+        if signs.is_leaving {
             self.says_it_leaves.set(true);
         }
-        if let Some(rest) = signs.rest {
+        if let Some(rest) = signs.requested_backoff {
             self.asked_for_rest(rest, now);
         }
         if !signs.is_refusal {
@@ -340,26 +340,26 @@
     /// Records that the upstream wants nothing from this box for so long.
     pub fn asked_for_rest(&self, rest: Duration, now: Now) {
         let mut asked = self.asked_rest.get();
-        asked.ask(rest, now);
+        asked.extend(rest, now);
         self.asked_rest.set(asked);
     }
 
     /// Records that the upstream took a request.
     pub fn took_request(&self, now: Now) {
         let mut asked = self.asked_rest.get();
-        asked.took_request(now);
+        asked.record_accepted(now);
         self.asked_rest.set(asked);
     }
 
     /// Tells whether a rest goes on that the upstream asked for.
     pub fn is_resting_as_asked(&self, now: Now) -> bool {
-        self.asked_rest.get().goes_on(now)
+        self.asked_rest.get().is_active(now)
     }
 
     /// Returns how long the upstream takes no request of this box because it asked for rest; none
     /// if it takes one now.
     pub fn asked_rest_left(&self, now: Now) -> Option<Duration> {
-        self.asked_rest.get().left(self.outstanding(), now)
+        self.asked_rest.get().remaining(self.outstanding(), now)
     }
 
     /// Records that the upstream warms up for so long from now on.
--- a/src/router/claimed.rs
+++ b/src/router/claimed.rs
@@ -123,7 +123,7 @@
                 Ok(upstream) => upstream,
                 Err(refused) => return Err(last.unwrap_or(refused)),
             };
-            let guard = upstream.load.enter();
+            let guard = upstream.load.track_request();
             let began = Now::read().monotonic;
             let out = self
                 .head
@@ -148,7 +148,7 @@
                 }
             };
             tries.push(try_record(&self.service, &upstream, &failure.message));
-            upstream.load.failed(began, Now::read());
+            upstream.load.record_failure(began, Now::read());
             tried.push(upstream.name);
             if failure.outcome != Outcome::NotRun || tried.len() >= MOST_TRIES {
                 return Err(failure);
@@ -170,7 +170,7 @@
         let body = match read_whole(&mut response, ANSWER_BYTES_LIMIT, left).await {
             Ok(body) => body,
             Err(err) => {
-                upstream.load.failed(began, Now::read());
+                upstream.load.record_failure(began, Now::read());
                 self.crashes
                     .broke_off(&upstream.name, upstream.address)
                     .await;
@@ -179,7 +179,7 @@
         };
         upstream
             .load
-            .succeeded(Now::read().monotonic.saturating_sub(began));
+            .record_success(Now::read().monotonic.saturating_sub(began));
         self.crashes.answered(Now::read());
         let bill = self.bill.filter(|_| response.status().is_success());
         let finish = Finish {
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -9,7 +9,7 @@
 use crate::clock::{Now, millis};
 use crate::outcome::{ConnectFailed, DispatchLog, Reason, Refused};
 use crate::routing::placement::Upstream;
-use crate::routing::signs::{SignHeaders, Signs};
+use crate::routing::signals::{ResponseSignals, SignalHeaders};
 use actix_http::header::RETRY_AFTER;
 use awc::SendClientRequest;
 use tokio::time::timeout;
@@ -60,17 +60,17 @@
         let value = response.headers().get(name)?;
         value.to_str().ok()
     };
-    let headers = SignHeaders {
+    let headers = SignalHeaders {
         leaving: text(LEAVING_HEADER),
         retry_after: text(RETRY_AFTER.as_str()),
     };
-    let signs = Signs::read(response.status().as_u16(), headers, now.wall);
+    let signs = ResponseSignals::read(response.status().as_u16(), headers, now.wall);
     let name = upstream.name.as_str();
-    if signs.leaves {
+    if signs.is_leaving {
         log::info!(upstream = name; "the upstream has said that it leaves, nothing more is sent there");
     }
-    if let Some(rest) = signs.rest {
+    if let Some(rest) = signs.requested_backoff {
         log::info!(upstream = name, rest_ms = millis(rest); "the upstream asks for rest");
     }
-    upstream.load.take_signs(signs, now);
+    upstream.load.apply_signals(signs, now);
 }
--- a/src/router/link.rs
+++ b/src/router/link.rs
@@ -114,14 +114,14 @@
 fn take_update(next: &mut Snapshot, update: Update, evidence: &mut Evidence) {
     match update {
         Update::Change { entry, bundle } => take_change(next, &entry, bundle),
-        Update::Live(list) => next.take_list(&list),
+        Update::Live(list) => next.apply_live_list(&list),
         Update::Alive | Update::ClaimsLost | Update::Crashes(_) => {}
         Update::Suspended(suspended) => {
             next.suspended = suspended.into_iter().map(|found| found.version).collect();
         }
         Update::Evidence(cells) => {
             evidence.merge(&cells);
-            next.sums = Arc::new(evidence.by_subject());
+            next.evidence_sums = Arc::new(evidence.by_subject());
         }
     }
 }
--- a/src/router/model.rs
+++ b/src/router/model.rs
@@ -15,7 +15,7 @@
 use crate::fingerprint::{Fingerprint, Identity};
 use crate::name::VersionName;
 use crate::outcome::{DispatchLog, Outcome, Reason, Refused};
-use crate::routing::admission::Admitted;
+use crate::routing::admission::AdmissionPermit;
 use crate::routing::cascade::first_step;
 use crate::routing::snapshot::Snapshot;
 use crate::session::{SESSION_HEADER, Session};
@@ -200,7 +200,7 @@
     snapshot: &Snapshot,
     bundle: &Bundle,
     organisation: &str,
-) -> Result<Admitted, Refused> {
+) -> Result<AdmissionPermit, Refused> {
     let share = bundle
         .organisations
         .get(organisation)
--- a/src/router/model_relay.rs
+++ b/src/router/model_relay.rs
@@ -11,7 +11,7 @@
 use super::trace::Trace;
 use crate::clock::Now;
 use crate::outcome::{Outcome, Reason};
-use crate::routing::admission::Admitted;
+use crate::routing::admission::AdmissionPermit;
 use crate::session::Session;
 use actix_http::{ResponseBuilder, StatusCode};
 use bytes::{Bytes, BytesMut};
@@ -25,7 +25,7 @@
     cost: Cost,
     watch: StreamWatch,
     sample: Option<BytesMut>,
-    _admitted: Admitted,
+    _admitted: AdmissionPermit,
 }
 
 enum RelayEnd {
@@ -36,7 +36,12 @@
 
 impl Relay {
     /// Takes an answer that has begun to come.
-    pub fn new(answer: StepAnswer, session: Session, cost: Cost, admitted: Admitted) -> Self {
+    pub fn new(
+        answer: StepAnswer,
+        session: Session,
+        cost: Cost,
+        admitted: AdmissionPermit,
+    ) -> Self {
         Self {
             answer,
             session,
--- a/src/router/model_try.rs
+++ b/src/router/model_try.rs
@@ -14,9 +14,9 @@
 use crate::outcome::{DispatchLog, Outcome, Reason, Refused};
 use crate::record::TryRecord;
 use crate::routing::placement::{
-    LoadGuard, PlacementQuery, Upstream, choose_upstream, first_rested,
+    LoadGuard, PlacementQuery, Upstream, choose_upstream, shortest_remaining_backoff,
 };
-use crate::routing::versions::{VersionChoice, choose_version, ruled_out};
+use crate::routing::versions::{VersionChoice, choose_version, exclusion_reason};
 use crate::session::Session;
 use actix_http::StatusCode;
 use actix_http::header::CONTENT_TYPE;
@@ -68,8 +68,8 @@
     pub fn succeeded(&self, worker: &Worker) {
         let took = Now::read().monotonic.saturating_sub(self.began);
         let load = &self.upstream.load;
-        load.succeeded(took);
-        load.version_succeeded(&self.version);
+        load.record_success(took);
+        load.record_version_success(&self.version);
         self.crashes.answered(Now::read());
         worker.shared.budget.deposit();
         worker
@@ -79,7 +79,7 @@
 
     /// Records that the answer broke off.
     pub fn failed(&self, worker: &Worker) {
-        self.upstream.load.failed(self.began, Now::read());
+        self.upstream.load.record_failure(self.began, Now::read());
         check_aside(&self.crashes, &self.upstream);
         count_failure(worker, &self.subject);
     }
@@ -165,11 +165,11 @@
     let now = Now::read();
     let choice = match step.pinned {
         Some(pinned) => {
-            let forbidden = ruled_out(&snapshot, &caller.organisation, pinned, now);
+            let forbidden = exclusion_reason(&snapshot, &caller.organisation, pinned, now);
             let chosen = forbidden.is_none().then(|| pinned.clone());
             VersionChoice {
                 chosen,
-                weighed: vec![(pinned.clone(), forbidden)],
+                considered: vec![(pinned.clone(), forbidden)],
             }
         }
         None => choose_version(
@@ -180,7 +180,7 @@
             now,
         ),
     };
-    let weighed = choice.weighed.iter().map(|(version, ruled_out)| {
+    let weighed = choice.considered.iter().map(|(version, ruled_out)| {
         (
             version.to_string(),
             ruled_out.map(|ruled_out| ruled_out.to_string()),
@@ -206,18 +206,18 @@
     let query = PlacementQuery {
         hall: &settings.identity.hall,
         affinity: Some(&step.session.id),
-        limit: u32::try_from(settings.upstream_limit).unwrap_or(u32::MAX),
+        max_outstanding: u32::try_from(settings.upstream_limit).unwrap_or(u32::MAX),
         version: Some(version),
         tried,
     };
     let chosen = choose_upstream(&candidates, query, Now::read(), &mut rand::rng());
     chosen.cloned().ok_or_else(|| {
-        if let Some(left) = first_rested(&candidates, Now::read()) {
+        if let Some(left) = shortest_remaining_backoff(&candidates, Now::read()) {
             return refuse_for_rest(log.refusal_outcome(), left);
         }
         let full = candidates
             .iter()
-            .any(|found| found.load.outstanding() >= query.limit);
+            .any(|found| found.load.outstanding() >= query.max_outstanding);
         let reason = if full {
             Reason::Overloaded
         } else {
@@ -238,13 +238,13 @@
 ) -> Result<StepAnswer, Refused> {
     let began = Now::read().monotonic;
     let subject = worker.shared.subject(version, &caller.organisation);
-    let load = upstream.load.enter();
+    let load = upstream.load.track_request();
     let request = upstream_request(worker, caller, step, version, upstream);
     let response = match dispatch(request, caller, upstream, log).await {
         Ok(response) => response,
         Err(failure) => {
             if failure.refused.reason == Reason::UpstreamFailed {
-                upstream.load.failed(began, Now::read());
+                upstream.load.record_failure(began, Now::read());
                 if !failure.is_unsent {
                     count_failure(worker, &subject);
                     step.guard.broke_off(&upstream.name, upstream.address).await;
@@ -262,11 +262,11 @@
             let (reason, message) = match failure {
                 BeginFailure::Version(message) => {
                     let now = Now::read();
-                    upstream.load.version_failed(version, began, now);
+                    upstream.load.record_version_failure(version, began, now);
                     (Reason::UpstreamFailed, message)
                 }
                 BeginFailure::Upstream(message) => {
-                    upstream.load.failed(began, Now::read());
+                    upstream.load.record_failure(began, Now::read());
                     (Reason::UpstreamFailed, message)
                 }
                 BeginFailure::Other(reason, message) => (reason, message),
--- a/src/router/plain.rs
+++ b/src/router/plain.rs
@@ -14,7 +14,7 @@
 use crate::outcome::{DispatchLog, Outcome, Reason, Refused};
 use crate::record::TryRecord;
 use crate::routing::placement::{
-    LoadGuard, PlacementQuery, Upstream, choose_upstream, first_rested,
+    LoadGuard, PlacementQuery, Upstream, choose_upstream, shortest_remaining_backoff,
 };
 use actix_http::body::{BodyStream, BoxBody, MessageBody as _, SizedStream};
 use actix_http::header::{CONTENT_LENGTH, HeaderMap, HeaderName, HeaderValue, TRANSFER_ENCODING};
@@ -99,13 +99,13 @@
     let query = PlacementQuery {
         hall: &worker.shared.settings.identity.hall,
         affinity: None,
-        limit: PLAIN_LIMIT,
+        max_outstanding: PLAIN_LIMIT,
         version: None,
         tried,
     };
     let chosen = choose_upstream(&candidates, query, Now::read(), &mut rand::rng());
     chosen.cloned().ok_or_else(|| {
-        if let Some(left) = first_rested(&candidates, Now::read()) {
+        if let Some(left) = shortest_remaining_backoff(&candidates, Now::read()) {
             return refuse_for_rest(log.refusal_outcome(), left);
         }
         let message = format!("no upstream of `{service}` takes work now");
@@ -203,7 +203,7 @@
             Ok(upstream) => upstream,
             Err(refused) => return Err(last.unwrap_or(refused)),
         };
-        let guard = upstream.load.enter();
+        let guard = upstream.load.track_request();
         let began = Now::read().monotonic;
         let payload = req.take_payload();
         let failed = match send(worker, caller, req, payload, &upstream, &mut log).await {
@@ -216,7 +216,7 @@
                 trace.record.outcome = Outcome::Done;
                 upstream
                     .load
-                    .succeeded(Now::read().monotonic.saturating_sub(began));
+                    .record_success(Now::read().monotonic.saturating_sub(began));
                 worker.shared.budget.deposit();
                 let watched = Watched {
                     upstream,
@@ -235,7 +235,7 @@
             .record
             .tries
             .push(try_record(service, &upstream, &failure.message));
-        upstream.load.failed(began, Now::read());
+        upstream.load.record_failure(began, Now::read());
         tried.push(upstream.name);
         let may_retry = !once && failure.reason != Reason::Deadline && tried.len() < MOST_TRIES;
         if !may_retry || !worker.shared.budget.withdraw() {
--- a/src/routing.rs
+++ b/src/routing.rs
@@ -3,10 +3,10 @@
 //! All of it depends only on state, event and current time, and does no I/O.
 
 pub mod admission;
+pub mod backoff;
 pub mod budget;
 pub mod cascade;
 pub mod placement;
-pub mod rest;
-pub mod signs;
+pub mod signals;
 pub mod snapshot;
 pub mod versions;
--- a/src/routing/admission.rs
+++ b/src/routing/admission.rs
@@ -30,7 +30,7 @@
         organisation: &str,
         share: f64,
         capacity: u32,
-    ) -> Option<Admitted> {
+    ) -> Option<AdmissionPermit> {
         let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
         let in_flight = counts
             .by_organisation
@@ -45,7 +45,7 @@
             .by_organisation
             .entry(organisation.to_owned())
             .or_default() += 1;
-        Some(Admitted {
+        Some(AdmissionPermit {
             admission: self.clone(),
             organisation: organisation.to_owned(),
         })
@@ -77,12 +77,12 @@
 
 /// Permit of an admitted request; dropping it frees the capacity.
 #[derive(Debug)]
-pub struct Admitted {
+pub struct AdmissionPermit {
     admission: Arc<Admission>,
     organisation: String,
 }
 
-impl Drop for Admitted {
+impl Drop for AdmissionPermit {
     fn drop(&mut self) {
         self.admission.release(&self.organisation);
     }
--- a/src/routing/rest.rs
+++ b/src/routing/backoff.rs
@@ -10,7 +10,7 @@
 
 /// Consecutive failures of an upstream or of one version on it, and the ejection they caused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Failures {
+pub struct FailureStreak {
     consecutive: u32,
     ejection: Option<Ejection>,
 }
@@ -22,13 +22,13 @@
     until: Duration,
 }
 
-impl Failures {
+impl FailureStreak {
     /// Records a failed request that began at the given monotonic time.
     ///
     /// A request that began before the newest ejection is not counted: concurrent requests fail
     /// together, and one short fault of a busy upstream would eject it for as long as many
     /// consecutive faults.
-    pub fn add(&mut self, began: Duration, now: Now) {
+    pub fn record_failure(&mut self, began: Duration, now: Now) {
         if self.ejection.is_some_and(|ejection| began < ejection.began) {
             return;
         }
@@ -43,12 +43,12 @@
 
     /// Records a successful request, which ends the row of failures. A current ejection continues,
     /// because the request may have begun before it.
-    pub fn end_row(&mut self) {
+    pub fn record_success(&mut self) {
         self.consecutive = 0;
     }
 
     /// Returns whether no request may be sent. After an ejection the next request is a probe.
-    pub fn rests(&self, now: Now) -> bool {
+    pub fn is_ejected(&self, now: Now) -> bool {
         self.ejection
             .is_some_and(|ejection| now.monotonic < ejection.until)
     }
@@ -71,31 +71,31 @@
 
 /// Backoff that an upstream requested from this process: its end in monotonic time, if any.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct AskedRest(Option<Duration>);
+pub struct RequestedBackoff(Option<Duration>);
 
-impl AskedRest {
+impl RequestedBackoff {
     /// Records that the upstream requested a backoff. Of several backoffs the one that ends last
     /// applies.
-    pub fn ask(&mut self, backoff: Duration, now: Now) {
+    pub fn extend(&mut self, backoff: Duration, now: Now) {
         let until = now.monotonic + backoff;
         self.0 = self.0.max(Some(until));
     }
 
     /// Records that the upstream accepted a request, which lifts the limit after a backoff.
-    pub fn took_request(&mut self, now: Now) {
-        if !self.goes_on(now) {
+    pub fn record_accepted(&mut self, now: Now) {
+        if !self.is_active(now) {
             self.0 = None;
         }
     }
 
     /// Returns whether the backoff has not ended yet.
-    pub fn goes_on(self, now: Now) -> bool {
+    pub fn is_active(self, now: Now) -> bool {
         self.0.is_some_and(|until| now.monotonic < until)
     }
 
     /// Returns how long no request may be sent to the upstream with the given number of outstanding
     /// requests; none if one may be sent now.
-    pub fn left(self, outstanding: u32, now: Now) -> Option<Duration> {
+    pub fn remaining(self, outstanding: u32, now: Now) -> Option<Duration> {
         let left = self.0?.saturating_sub(now.monotonic);
         match left.is_zero() {
             false => Some(left),
--- a/src/routing/cascade.rs
+++ b/src/routing/cascade.rs
@@ -58,7 +58,7 @@
 /// count for the version after the lift.
 fn quality_lower_bound(snapshot: &Snapshot, organisation: &str, model: &str) -> Option<f64> {
     let mut counts = Counts::default();
-    for (subject, found) in snapshot.sums.iter() {
+    for (subject, found) in snapshot.evidence_sums.iter() {
         let is_match = subject.organisation == organisation && subject.version.model == model;
         if is_match && subject.lift == snapshot.control.newest_lift(&subject.version) {
             counts.add(found);
--- a/src/routing/placement.rs
+++ b/src/routing/placement.rs
@@ -4,8 +4,8 @@
 //! session's preferred upstream is used instead unless it is much busier, and upstreams of the
 //! router's own hall are used as long as one is available. See `docs/design/placement.md`.
 
-use super::rest::{AskedRest, Failures};
-use super::signs::Signs;
+use super::backoff::{FailureStreak, RequestedBackoff};
+use super::signals::ResponseSignals;
 use crate::clock::Now;
 use crate::name::VersionName;
 use rand::Rng;
@@ -44,32 +44,32 @@
 pub struct UpstreamLoad {
     outstanding: AtomicU32,
     mean_latency_micros: AtomicU64,
-    failures: Mutex<Failures>,
-    requested_backoff: Mutex<AskedRest>,
+    failures: Mutex<FailureStreak>,
+    requested_backoff: Mutex<RequestedBackoff>,
     is_leaving: AtomicBool,
     /// Failures by version: a failing version must not eject the upstream for the other versions.
-    versions: Mutex<HashMap<VersionName, Failures>>,
+    versions: Mutex<HashMap<VersionName, FailureStreak>>,
 }
 
 impl UpstreamLoad {
     /// Applies the signals in the head of a response. Once an upstream is leaving it stays so.
-    pub fn take_signs(&self, signs: Signs, now: Now) {
-        if signs.leaves {
+    pub fn apply_signals(&self, signals: ResponseSignals, now: Now) {
+        if signals.is_leaving {
             self.is_leaving.store(true, Ordering::Relaxed);
         }
-        let mut asked = lock(&self.requested_backoff);
-        if let Some(rest) = signs.rest {
-            asked.ask(rest, now);
+        let mut backoff = lock(&self.requested_backoff);
+        if let Some(duration) = signals.requested_backoff {
+            backoff.extend(duration, now);
         }
-        if !signs.is_refusal {
-            asked.took_request(now);
+        if !signals.is_refusal {
+            backoff.record_accepted(now);
         }
     }
 
     /// Returns how long no request may be sent because the upstream requested a backoff; none if one
     /// may be sent now.
     pub fn backoff_remaining(&self, now: Now) -> Option<Duration> {
-        lock(&self.requested_backoff).left(self.outstanding(), now)
+        lock(&self.requested_backoff).remaining(self.outstanding(), now)
     }
 
     /// Returns the number of this router's requests that the upstream has not finished.
@@ -78,13 +78,13 @@
     }
 
     /// Counts a request as outstanding until the guard is dropped.
-    pub fn enter(self: &Arc<Self>) -> LoadGuard {
+    pub fn track_request(self: &Arc<Self>) -> LoadGuard {
         self.outstanding.fetch_add(1, Ordering::Relaxed);
         LoadGuard { load: self.clone() }
     }
 
     /// Records a successful request and its latency.
-    pub fn succeeded(&self, took: Duration) {
+    pub fn record_success(&self, took: Duration) {
         let took = u64::try_from(took.as_micros()).unwrap_or(u64::MAX).max(1);
         let mean = self.mean_latency_micros.load(Ordering::Relaxed);
         let next = if mean == 0 {
@@ -94,36 +94,39 @@
         };
         self.mean_latency_micros
             .store(next.max(1), Ordering::Relaxed);
-        lock(&self.failures).end_row();
+        lock(&self.failures).record_success();
     }
 
     /// Records a failed request that began at the given monotonic time. Several consecutive failures
     /// eject the upstream, for a time that grows with their number.
-    pub fn failed(&self, began: Duration, now: Now) {
-        lock(&self.failures).add(began, now);
+    pub fn record_failure(&self, began: Duration, now: Now) {
+        lock(&self.failures).record_failure(began, now);
     }
 
     /// Records that a version gave a complete answer.
-    pub fn version_succeeded(&self, version: &VersionName) {
+    pub fn record_version_success(&self, version: &VersionName) {
         lock(&self.versions).remove(version);
     }
 
     /// Records that a version failed although the upstream itself responded.
-    pub fn version_failed(&self, version: &VersionName, began: Duration, now: Now) {
+    pub fn record_version_failure(&self, version: &VersionName, began: Duration, now: Now) {
         let mut versions = lock(&self.versions);
-        versions.entry(version.clone()).or_default().add(began, now);
+        versions
+            .entry(version.clone())
+            .or_default()
+            .record_failure(began, now);
     }
 
     fn is_version_ejected(&self, version: &VersionName, now: Now) -> bool {
         let versions = lock(&self.versions);
         versions
             .get(version)
-            .is_some_and(|failures| failures.rests(now))
+            .is_some_and(|failures| failures.is_ejected(now))
     }
 
     /// Returns whether the upstream is ejected after failures.
     pub fn is_ejected(&self, now: Now) -> bool {
-        lock(&self.failures).rests(now)
+        lock(&self.failures).is_ejected(now)
     }
 
     fn expected_latency_micros(&self) -> f64 {
@@ -159,7 +162,7 @@
     /// Key that assigns related requests to the same upstream, such as the session id, if any.
     pub affinity: Option<&'a str>,
     /// Maximum number of outstanding requests of this router at one upstream.
-    pub limit: u32,
+    pub max_outstanding: u32,
     /// Version that runs the request; none for a plain service.
     pub version: Option<&'a VersionName>,
     /// Names of upstreams at which the request already failed.
@@ -168,7 +171,7 @@
 
 /// Returns the shortest remaining backoff that candidates requested; none if a candidate accepts
 /// requests now, or if all are leaving.
-pub fn first_rested(candidates: &[&Upstream], now: Now) -> Option<Duration> {
+pub fn shortest_remaining_backoff(candidates: &[&Upstream], now: Now) -> Option<Duration> {
     let not_leaving = candidates
         .iter()
         .filter(|upstream| !upstream.load.is_leaving.load(Ordering::Relaxed));
@@ -185,7 +188,7 @@
     rng: &mut impl Rng,
 ) -> Option<&'a Upstream> {
     let usable = |upstream: &&&Upstream| {
-        upstream.load.outstanding() < query.limit
+        upstream.load.outstanding() < query.max_outstanding
             && !upstream.load.is_ejected(now)
             && !upstream.load.is_leaving.load(Ordering::Relaxed)
             && upstream.load.backoff_remaining(now).is_none()
--- a/src/routing/signs.rs
+++ b/src/routing/signals.rs
@@ -11,40 +11,40 @@
 
 /// Signals about the state of an upstream from the head of one of its responses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Signs {
+pub struct ResponseSignals {
     /// Whether the upstream accepts no more work and is about to stop.
-    pub leaves: bool,
+    pub is_leaving: bool,
     /// Whether the upstream refused the request with 429 or 503.
     pub is_refusal: bool,
     /// Backoff that a refusal requests by `Retry-After`.
-    pub rest: Option<Duration>,
+    pub requested_backoff: Option<Duration>,
 }
 
 /// Response headers that contain signals.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct SignHeaders<'a> {
+pub struct SignalHeaders<'a> {
     /// Value of the header by which an upstream announces that it is leaving.
     pub leaving: Option<&'a str>,
     /// Value of `Retry-After`.
     pub retry_after: Option<&'a str>,
 }
 
-impl Signs {
+impl ResponseSignals {
     /// Reads the signals of a response with the given status.
-    pub fn read(status: u16, headers: SignHeaders<'_>, now: WallTime) -> Self {
+    pub fn read(status: u16, headers: SignalHeaders<'_>, now: WallTime) -> Self {
         let is_refusal = matches!(status, TOO_MANY_REQUESTS | UNAVAILABLE);
         let asked = headers.retry_after.filter(|_| is_refusal);
-        let rest = asked.and_then(|text| retry_after::parse(text, now));
-        if let (Some(text), None) = (asked, rest) {
+        let requested_backoff = asked.and_then(|text| retry_after::parse(text, now));
+        if let (Some(text), None) = (asked, requested_backoff) {
             log::debug!(
                 "ignoring the Retry-After `{text}` of an upstream: invalid or no time left"
             );
         }
         let leaving = headers.leaving.map(str::trim);
         Self {
-            leaves: leaving.is_some_and(|value| value != NOT_LEAVING),
+            is_leaving: leaving.is_some_and(|value| value != NOT_LEAVING),
             is_refusal,
-            rest,
+            requested_backoff,
         }
     }
 }
--- a/src/routing/snapshot.rs
+++ b/src/routing/snapshot.rs
@@ -26,7 +26,7 @@
     /// Whether a live list has been received.
     pub has_live_list: bool,
     /// Sums of the evidence about versions from all boxes.
-    pub sums: Arc<BTreeMap<Subject, Counts>>,
+    pub evidence_sums: Arc<BTreeMap<Subject, Counts>>,
 }
 
 impl Snapshot {
@@ -37,7 +37,7 @@
 
     /// Applies a live list and keeps the load of upstreams that were in the previous one. An upstream
     /// at another address is a new one, even if its name is the same.
-    pub fn take_list(&mut self, list: &LiveList) {
+    pub fn apply_live_list(&mut self, list: &LiveList) {
         let mut loads: HashMap<(String, SocketAddr), Arc<UpstreamLoad>> = HashMap::new();
         for upstream in self.upstreams.values().flatten() {
             let key = (upstream.name.clone(), upstream.address);
--- a/src/routing/versions.rs
+++ b/src/routing/versions.rs
@@ -46,11 +46,11 @@
     /// The version that serves the request, if any may.
     pub chosen: Option<VersionName>,
     /// Each version with the reason for its exclusion; none for the chosen one.
-    pub weighed: Vec<(VersionName, Option<ExclusionReason>)>,
+    pub considered: Vec<(VersionName, Option<ExclusionReason>)>,
 }
 
 /// Returns why an organisation may not use a version now, or none if it may.
-pub fn ruled_out(
+pub fn exclusion_reason(
     snapshot: &Snapshot,
     organisation: &str,
     version: &VersionName,
@@ -92,26 +92,26 @@
     else {
         return VersionChoice {
             chosen: None,
-            weighed: Vec::new(),
+            considered: Vec::new(),
         };
     };
     let name = |version: &str| VersionName {
         model: model_name.to_owned(),
         version: version.to_owned(),
     };
-    let mut weighed: Vec<(VersionName, Option<ExclusionReason>)> = model
+    let mut considered: Vec<(VersionName, Option<ExclusionReason>)> = model
         .versions
         .keys()
         .map(|version| name(version))
         .map(|version| {
-            let ruled_out = ruled_out(snapshot, organisation, &version, now);
-            (version, ruled_out)
+            let reason = exclusion_reason(snapshot, organisation, &version, now);
+            (version, reason)
         })
         .collect();
     let may_run = |candidate: &VersionName| {
-        weighed
+        considered
             .iter()
-            .any(|(version, ruled_out)| version == candidate && ruled_out.is_none())
+            .any(|(version, reason)| version == candidate && reason.is_none())
     };
     let by_rollout = versions_by_preference(snapshot, model, model_name, session)
         .into_iter()
@@ -121,12 +121,12 @@
         .into_iter()
         .chain(by_rollout)
         .find(may_run);
-    for (version, ruled_out) in &mut weighed {
-        if ruled_out.is_none() && chosen.as_ref() != Some(version) {
-            *ruled_out = Some(ExclusionReason::NotChosen);
+    for (version, reason) in &mut considered {
+        if reason.is_none() && chosen.as_ref() != Some(version) {
+            *reason = Some(ExclusionReason::NotChosen);
         }
     }
-    VersionChoice { chosen, weighed }
+    VersionChoice { chosen, considered }
 }
 
 /// Returns the versions of a model in order of preference for a new session.
--- a/tests/exposure.rs
+++ b/tests/exposure.rs
@@ -206,7 +206,7 @@
         ..Counts::default()
     };
     let mut snapshot = Snapshot {
-        sums: Arc::new(BTreeMap::from([
+        evidence_sums: Arc::new(BTreeMap::from([
             (subject(Generation(0)), rated(0, 1000)),
             (subject(Generation(3)), rated(200, 0)),
         ])),
--- a/tests/gateway/rests.rs
+++ b/tests/gateway/rests.rs
@@ -4,7 +4,7 @@
 use gatepier::clock::WallTime;
 use gatepier::gateway::attempt::upstream::Upstream;
 use gatepier::retry_after;
-use gatepier::routing::signs::{SignHeaders, Signs};
+use gatepier::routing::signals::{ResponseSignals, SignalHeaders};
 use googletest::prelude::*;
 use std::rc::Rc;
 use std::time::Duration;
@@ -97,16 +97,16 @@
 
     signs_are_read_from_the_head_of_an_answer => {
         let read = |status, leaving, retry_after| {
-            Signs::read(status, SignHeaders { leaving, retry_after }, WallTime(0))
+            ResponseSignals::read(status, SignalHeaders { leaving, retry_after }, WallTime(0))
         };
         let refusal = read(503, None, Some("2"));
-        expect_that!(refusal.rest, some(eq(Duration::from_secs(2))));
+        expect_that!(refusal.requested_backoff, some(eq(Duration::from_secs(2))));
         expect_that!(refusal.is_refusal, eq(true));
-        expect_that!(read(429, None, Some("2")).rest, some(anything()));
-        expect_that!(read(200, None, Some("2")).rest, none(), "it is no refusal");
-        expect_that!(read(503, Some("1"), None).leaves, eq(true));
-        expect_that!(read(200, Some(" 1 "), None).leaves, eq(true));
-        expect_that!(read(200, Some("0"), None).leaves, eq(false));
-        expect_that!(read(200, None, None).leaves, eq(false));
+        expect_that!(read(429, None, Some("2")).requested_backoff, some(anything()));
+        expect_that!(read(200, None, Some("2")).requested_backoff, none(), "it is no refusal");
+        expect_that!(read(503, Some("1"), None).is_leaving, eq(true));
+        expect_that!(read(200, Some(" 1 "), None).is_leaving, eq(true));
+        expect_that!(read(200, Some("0"), None).is_leaving, eq(false));
+        expect_that!(read(200, None, None).is_leaving, eq(false));
     }
 }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -5,7 +5,7 @@
 use common::{Bench, BenchPlan};
 use gatepier::clock::{Now, WallTime};
 use gatepier::lab::model::Behaviour;
-use gatepier::routing::rest::Failures;
+use gatepier::routing::backoff::FailureStreak;
 use googletest::prelude::*;
 use std::time::{Duration, Instant};
 
@@ -44,15 +44,15 @@
 /// counted as 48 failures in a row, and callers were still refused with `no-upstream` 2.5 s later.
 #[googletest::test]
 fn requests_that_fail_together_make_an_upstream_rest_once() {
-    let mut failures = Failures::default();
+    let mut failures = FailureStreak::default();
     for number in 0..50 {
-        failures.add(at(number).monotonic, at(1000 + number));
+        failures.record_failure(at(number).monotonic, at(1000 + number));
     }
-    expect_that!(failures.rests(at(1400)), eq(true));
-    expect_that!(failures.rests(at(1600)), eq(false));
-    failures.add(at(40).monotonic, at(1700));
+    expect_that!(failures.is_ejected(at(1400)), eq(true));
+    expect_that!(failures.is_ejected(at(1600)), eq(false));
+    failures.record_failure(at(40).monotonic, at(1700));
     expect_that!(
-        failures.rests(at(1700)),
+        failures.is_ejected(at(1700)),
         eq(false),
         "it had begun before the rest"
     );
@@ -60,21 +60,21 @@
 
 #[googletest::test]
 fn probes_that_fail_make_an_upstream_rest_longer_each_time() {
-    let mut failures = Failures::default();
+    let mut failures = FailureStreak::default();
     for number in 0..3 {
-        failures.add(at(number).monotonic, at(10));
+        failures.record_failure(at(number).monotonic, at(10));
     }
     let mut now = 510;
     for rest in [1000, 2000, 4000, 8000, 15_000, 15_000] {
-        expect_that!(failures.rests(at(now)), eq(false));
-        failures.add(at(now).monotonic, at(now));
-        expect_that!(failures.rests(at(now + rest - 1)), eq(true));
+        expect_that!(failures.is_ejected(at(now)), eq(false));
+        failures.record_failure(at(now).monotonic, at(now));
+        expect_that!(failures.is_ejected(at(now + rest - 1)), eq(true));
         now += rest;
     }
-    failures.end_row();
-    failures.add(at(now).monotonic, at(now));
+    failures.record_success();
+    failures.record_failure(at(now).monotonic, at(now));
     expect_that!(
-        failures.rests(at(now)),
+        failures.is_ejected(at(now)),
         eq(false),
         "two failures in a row are borne"
     );
