--- a/src/claim.rs
+++ b/src/claim.rs
@@ -20,7 +20,7 @@
 pub const CLAIM_RETENTION: std::time::Duration = std::time::Duration::from_secs(600);
 
 /// Maximum size of a response body that is saved for repeats of its request.
-pub const KEPT_ANSWER_BYTES_LIMIT: usize = 4 * 1024;
+pub const SAVED_RESPONSE_MAX_BYTES: usize = 4 * 1024;
 
 /// Number of shards whose home is the same hall.
 pub const SHARDS_PER_HALL: u16 = 4;
@@ -76,7 +76,7 @@
 }
 
 /// Generates a request id that contains its hall and the time of generation.
-pub fn mint_request_id(hall: &str) -> String {
+pub fn generate_request_id(hall: &str) -> String {
     format!("{GENERATED_ID_PREFIX}{hall}.{}", Uuid::now_v7())
 }
 
@@ -115,7 +115,7 @@
 
 /// Response that is saved for repeats of its request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct KeptAnswer {
+pub struct SavedResponse {
     /// The HTTP status.
     pub status: u16,
     /// Value of the `Content-Type` header.
@@ -128,7 +128,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Finish {
     /// The response, if it is complete and small enough to be saved.
-    pub answer: Option<KeptAnswer>,
+    pub response: Option<SavedResponse>,
     /// The bill, if the request is billed.
     pub bill: Option<Bill>,
 }
@@ -141,7 +141,7 @@
     /// Another attempt holds the claim, and no end of it has been recorded.
     Running,
     /// Another attempt ended. Contains its response if that was saved.
-    Finished(Option<KeptAnswer>),
+    Finished(Option<SavedResponse>),
     /// The claims of this shard were lost, so it is not known whether the request ran.
     Unknown,
     /// The shard cannot grant claims now. This attempt was not granted and never will be.
--- a/src/claim/replica.rs
+++ b/src/claim/replica.rs
@@ -215,7 +215,7 @@
         match self.table.get(key) {
             Some(entry) => match &entry.phase {
                 Phase::Finished { finish, .. } => {
-                    return Some(ClaimReply::Finished(finish.answer.clone()));
+                    return Some(ClaimReply::Finished(finish.response.clone()));
                 }
                 Phase::Running if entry.attempt == attempt => return Some(ClaimReply::Granted),
                 Phase::Pending if entry.attempt == attempt => {}
--- a/src/router/billing.rs
+++ b/src/router/billing.rs
@@ -46,7 +46,7 @@
     trace.record.cost_micros = cost.micros;
     trace.record.billed = true;
     let finish = Finish {
-        answer: None,
+        response: None,
         bill: Some(bill),
     };
     worker
--- a/src/router/claimed.rs
+++ b/src/router/claimed.rs
@@ -8,7 +8,7 @@
 use super::plain::{ForwardHead, fingerprint, place, response_head, try_record};
 use super::trace::Trace;
 use crate::bundle::Service;
-use crate::claim::{AttemptId, Bill, ClaimReply, Finish, KEPT_ANSWER_BYTES_LIMIT, KeptAnswer};
+use crate::claim::{AttemptId, Bill, ClaimReply, Finish, SAVED_RESPONSE_MAX_BYTES, SavedResponse};
 use crate::clock::Now;
 use crate::outcome::{DispatchLog, Outcome, Reason, Refused};
 use crate::record::TryRecord;
@@ -183,7 +183,7 @@
         self.crashes.answered(Now::read());
         let bill = self.bill.filter(|_| response.status().is_success());
         let finish = Finish {
-            answer: keep(&response, &body),
+            response: keep(&response, &body),
             bill: bill.clone(),
         };
         self.worker.finish(self.caller.key(), attempt, finish).await;
@@ -241,7 +241,7 @@
     }
 }
 
-fn repeat(caller: &Caller, answer: KeptAnswer) -> Response<BoxBody> {
+fn repeat(caller: &Caller, answer: SavedResponse) -> Response<BoxBody> {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     let mut res = Response::build(status);
     res.insert_header((CONTENT_TYPE, answer.content_type));
@@ -255,10 +255,10 @@
     refuse(Outcome::Unknown, Reason::UpstreamFailed, message)
 }
 
-fn keep(response: &UpstreamResponse, body: &Bytes) -> Option<KeptAnswer> {
+fn keep(response: &UpstreamResponse, body: &Bytes) -> Option<SavedResponse> {
     let content_type = response.headers().get(CONTENT_TYPE);
     let content_type = content_type.and_then(|value| value.to_str().ok());
-    (body.len() <= KEPT_ANSWER_BYTES_LIMIT).then(|| KeptAnswer {
+    (body.len() <= SAVED_RESPONSE_MAX_BYTES).then(|| SavedResponse {
         status: response.status().as_u16(),
         content_type: content_type
             .unwrap_or("application/octet-stream")
--- a/src/router/entry.rs
+++ b/src/router/entry.rs
@@ -4,7 +4,7 @@
 use super::context::{Caller, Worker, refuse};
 use super::model::serve_model;
 use super::plain::serve_plain;
-use crate::claim::mint_request_id;
+use crate::claim::generate_request_id;
 use crate::clock::Now;
 use crate::keys::hex;
 use crate::outcome::{Outcome, Reason, Refused};
@@ -65,7 +65,7 @@
             let message = "the Idempotency-Key must have 1 to 128 printable characters";
             return Err(not_run(Reason::BadRequest, message));
         }
-        None => mint_request_id(&settings.identity.hall),
+        None => generate_request_id(&settings.identity.hall),
     };
     let wanted = match header(DEADLINE_HEADER).map(str::parse::<u64>) {
         None => settings.deadline,
