--- a/src/agent/claims.rs
+++ b/src/agent/claims.rs
@@ -1,8 +1,8 @@
-//! The I/O around the claims' state machine: asking witnesses, and passing calls on to
+//! I/O around the state machine of claims: replication to witnesses, and forwarding of calls to
 //! the owners of shards.
 
 use super::Agent;
-use super::gossip::{address_of, take_views};
+use super::gossip::{agent_address, merge_views};
 use crate::claim::message::{Refusal, ReplicaMessage, UnrecordedFinish};
 use crate::claim::replica::{ClaimStep, Replica};
 use crate::claim::view::{ShardId, View};
@@ -13,13 +13,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long an owner waits for its witness.
+/// How long an owner waits for the acknowledgement of its witness.
 pub(super) const WITNESS_DEADLINE: Duration = Duration::from_millis(250);
-/// How long an agent waits for the owner that it passed a call on to.
+/// How long an agent waits for the owner to which it forwarded a call.
 const OWNER_DEADLINE: Duration = Duration::from_millis(600);
-const REPLICATE_DEADLINE: Duration = Duration::from_secs(2);
+/// Deadline of a replication in the background.
+const REPLICATION_DEADLINE: Duration = Duration::from_secs(2);
 
-/// Decides about an attempt, here or at the shard's owner.
+/// Handles an attempt to claim a key, on this agent or by forwarding it to the shard's owner.
+///
+/// `relayed` is set if another agent forwarded the call; it is not forwarded again.
 pub async fn claim(
     agent: &Rc<Agent>,
     key: ClaimKey,
@@ -31,7 +34,7 @@
         return not_now("the halls are not known");
     };
     if owns(agent, &shard) {
-        return claim_here(agent, &shard, &key, attempt).await;
+        return claim_as_owner(agent, &shard, &key, attempt).await;
     }
     if relayed {
         return not_now("this agent does not own the shard");
@@ -43,8 +46,8 @@
     };
     match call_owner(agent, &shard, &request).await {
         Ok(ControlResponse::Claim(reply)) => reply,
-        Ok(_) => not_now("the shard's owner gave an unfitting answer"),
-        Err(err) => not_now(&format!("the shard's owner cannot be asked: {err}")),
+        Ok(_) => not_now("the shard's owner sent an unexpected response"),
+        Err(err) => not_now(&format!("the call to the shard's owner failed: {err}")),
     }
 }
 
@@ -56,7 +59,7 @@
         .is_some_and(Replica::is_owner)
 }
 
-/// Acts on this agent's copy of a shard, if it has one.
+/// Calls a function on this agent's replica of a shard, if it has one.
 pub(super) fn with_replica<T>(
     agent: &Agent,
     shard: &ShardId,
@@ -72,12 +75,12 @@
 ) -> Result<ControlResponse, WireError> {
     let unknown = || WireError::NotSent("the shard's owner is not known".to_owned());
     let owner = agent
-        .shared
+        .state
         .borrow()
         .view(shard)
         .map(|view| view.owner.clone());
     let address = owner
-        .and_then(|owner| address_of(agent, &owner.box_name))
+        .and_then(|owner| agent_address(agent, &owner.box_name))
         .ok_or_else(unknown)?;
     agent
         .peers
@@ -86,7 +89,7 @@
         .await
 }
 
-async fn claim_here(
+async fn claim_as_owner(
     agent: &Rc<Agent>,
     shard: &ShardId,
     key: &ClaimKey,
@@ -101,9 +104,9 @@
         Some(ClaimStep::Replicate(message)) => *message,
     };
     let epoch = message.epoch;
-    let asked = ask_witness(agent, message, None, WITNESS_DEADLINE).await;
+    let acknowledged = replicate_to_witness(agent, message, None, WITNESS_DEADLINE).await;
     let reply = with_replica(agent, shard, |replica| {
-        let reply = match asked {
+        let reply = match acknowledged {
             Ok(()) => replica.handle_claim_ack(epoch, key, attempt, Now::read()),
             Err(reason) => ClaimReply::NotNow(reason),
         };
@@ -115,36 +118,42 @@
     reply.unwrap_or_else(|| ClaimReply::NotNow("the shard is not held here".to_owned()))
 }
 
-/// Sends a message to the witness that it names; only `Ok` is an acknowledgement.
-pub(super) async fn ask_witness(
+/// Sends a message to the witness that it is addressed to; only `Ok` is an acknowledgement.
+pub(super) async fn replicate_to_witness(
     agent: &Rc<Agent>,
     message: ReplicaMessage,
     view: Option<View>,
     deadline: Duration,
 ) -> Result<(), String> {
     let witness = message.to.clone();
-    let address = address_of(agent, &witness.box_name)
-        .ok_or_else(|| format!("the witness {witness} is not listed"))?;
+    let address = agent_address(agent, &witness.box_name)
+        .ok_or_else(|| format!("the witness {witness} is not in the live list"))?;
     let request = ControlRequest::Replicate(Box::new(message), view);
     match agent.peers.client(address).call(&request, deadline).await {
         Ok(ControlResponse::Replicated(Ok(()))) => {
-            agent.peers.note(&witness, false, Now::read());
+            agent.peers.record_contact(&witness, false, Now::read());
             Ok(())
         }
         Ok(ControlResponse::Replicated(Err((refusal, view)))) => {
-            take_views(agent, view.as_slice());
-            Err(format!("the witness {witness} refused: {refusal:?}"))
+            merge_views(agent, view.as_slice());
+            Err(format!(
+                "the witness {witness} refused the message: {refusal:?}"
+            ))
         }
-        Ok(_) => Err(format!("the witness {witness} gave an unfitting answer")),
-        Err(err) => Err(format!("the witness {witness} cannot be asked: {err}")),
+        Ok(_) => Err(format!("the witness {witness} sent an unexpected response")),
+        Err(err) => Err(format!("the call to the witness {witness} failed: {err}")),
     }
 }
 
-/// Takes a message from a shard's owner.
-pub fn receive(agent: &Rc<Agent>, message: ReplicaMessage, view: Option<&View>) -> ControlResponse {
-    take_views(agent, view.map_or(&[], std::slice::from_ref));
+/// Applies a replication message from a shard's owner.
+pub fn handle_replication(
+    agent: &Rc<Agent>,
+    message: ReplicaMessage,
+    view: Option<&View>,
+) -> ControlResponse {
+    merge_views(agent, view.map_or(&[], std::slice::from_ref));
     let now = Now::read();
-    agent.peers.note(&message.from, false, now);
+    agent.peers.record_contact(&message.from, false, now);
     let shard = message.shard.clone();
     let mut replicas = agent.replicas.borrow_mut();
     let outcome = match replicas.get_mut(&shard) {
@@ -157,7 +166,7 @@
     ControlResponse::Replicated(outcome.map_err(|refusal| (refusal, known)))
 }
 
-/// Gives a key back, here or at the shard's owner.
+/// Releases a key, on this agent or by forwarding the call to the shard's owner.
 pub async fn release(
     agent: &Rc<Agent>,
     key: ClaimKey,
@@ -170,7 +179,7 @@
     };
     if owns(agent, &shard) {
         let message = with_replica(agent, &shard, |replica| replica.release(&key, attempt));
-        replicate_later(agent, message.flatten());
+        replicate_in_background(agent, message.flatten());
         return ControlResponse::Done;
     }
     if relayed {
@@ -186,23 +195,24 @@
         .unwrap_or_else(|err| failed(&err.to_string()))
 }
 
-/// Tells the witness in the background; what it misses, the next transfer of the
-/// table brings.
-fn replicate_later(agent: &Rc<Agent>, message: Option<ReplicaMessage>) {
+/// Replicates to the witness in the background. A change that is lost reaches the witness with the
+/// next transfer of the table.
+fn replicate_in_background(agent: &Rc<Agent>, message: Option<ReplicaMessage>) {
     let Some(message) = message else {
         return;
     };
     let agent = agent.clone();
     actix_rt::spawn(async move {
-        if let Err(reason) = ask_witness(&agent, message, None, REPLICATE_DEADLINE).await {
+        if let Err(reason) = replicate_to_witness(&agent, message, None, REPLICATION_DEADLINE).await
+        {
             log::debug!("{reason}");
         }
     });
 }
 
-/// Records how a request ended, here or at the shard's owner.
+/// Records how a request ended, on this agent or by forwarding the call to the shard's owner.
 ///
-/// A bill that no owner takes waits here and is brought to the ledger from here.
+/// If the owner does not record it, this agent retains it and writes its bill to the ledger.
 pub async fn finish(
     agent: &Rc<Agent>,
     key: ClaimKey,
@@ -211,19 +221,22 @@
     relayed: bool,
 ) -> ControlResponse {
     let shard = key.shard(&agent.settings.identity.halls);
-    let placed = place_finish(agent, shard.as_ref(), &key, attempt, &finish, relayed).await;
-    if relayed || matches!(placed, ControlResponse::Done) {
-        return placed;
+    let response = submit_finish(agent, shard.as_ref(), &key, attempt, &finish, relayed).await;
+    if relayed || matches!(response, ControlResponse::Done) {
+        return response;
     }
-    agent.unplaced.borrow_mut().push(UnrecordedFinish {
-        key,
-        attempt,
-        finish,
-    });
+    agent
+        .unrecorded_finishes
+        .borrow_mut()
+        .push(UnrecordedFinish {
+            key,
+            attempt,
+            finish,
+        });
     ControlResponse::Kept
 }
 
-async fn place_finish(
+async fn submit_finish(
     agent: &Rc<Agent>,
     shard: Option<&ShardId>,
     key: &ClaimKey,
@@ -236,7 +249,7 @@
         return failed("the halls are not known");
     };
     if owns(agent, shard) {
-        return finish_here(agent, shard, key, attempt, finish.clone()).await;
+        return finish_as_owner(agent, shard, key, attempt, finish.clone()).await;
     }
     if relayed {
         return failed("this agent does not own the shard");
@@ -253,7 +266,7 @@
         .unwrap_or_else(|err| failed(&err.to_string()))
 }
 
-async fn finish_here(
+async fn finish_as_owner(
     agent: &Rc<Agent>,
     shard: &ShardId,
     key: &ClaimKey,
@@ -266,32 +279,35 @@
     let Some(message) = message.flatten() else {
         return ControlResponse::Failed("the shard has no witness".to_owned());
     };
-    match ask_witness(agent, message, None, WITNESS_DEADLINE).await {
+    match replicate_to_witness(agent, message, None, WITNESS_DEADLINE).await {
         Ok(()) => ControlResponse::Done,
-        // An owner that was cut off may hold this alone and be taken over, so whoever
-        // told it has to keep it too.
+        // A partitioned owner may hold this alone and lose the shard to a takeover, so the caller
+        // has to retain it as well.
         Err(reason) => ControlResponse::Failed(reason),
     }
 }
 
-/// Takes a view into the copy of its shard.
+/// Applies a view to the replica of its shard.
 pub fn apply_view(agent: &Rc<Agent>, view: &View) {
     let mut replicas = agent.replicas.borrow_mut();
-    let me = agent.me.clone();
+    let member = agent.member.clone();
     let replica = replicas
         .entry(view.shard.clone())
-        .or_insert_with(|| Replica::new(me));
-    agent.unplaced.borrow_mut().extend(replica.apply_view(view));
+        .or_insert_with(|| Replica::new(member));
+    agent
+        .unrecorded_finishes
+        .borrow_mut()
+        .extend(replica.apply_view(view));
     if view.unknown_until.is_some() {
         agent.push(&Update::ClaimsLost);
     }
-    if view.includes(&agent.me) {
-        log::info!(shard = view.shard.to_string(), epoch = view.epoch.0; "this agent holds the shard as {}", role(agent, view));
+    if view.includes(&agent.member) {
+        log::info!(shard = view.shard.to_string(), epoch = view.epoch.0; "this agent is the shard's {}", role(agent, view));
     }
 }
 
 fn role(agent: &Agent, view: &View) -> &'static str {
-    if view.owner == agent.me {
+    if view.owner == agent.member {
         "owner"
     } else {
         "witness"
--- a/src/agent/guarding.rs
+++ b/src/agent/exposure_guard.rs
@@ -1,7 +1,7 @@
-//! Runs the exposure guard over the counts of all boxes.
+//! Runs the exposure guard on the counts of all boxes.
 
 use super::Agent;
-use super::follow::take_suspensions;
+use super::follow::apply_suspensions;
 use crate::clock::Now;
 use crate::evidence::Suspension;
 use crate::guard::Alarm;
@@ -15,31 +15,32 @@
 use tokio::time::sleep;
 
 const GUARD_PERIOD: Duration = Duration::from_millis(250);
-const EVIDENCE_CELLS_TO_ROUTERS: usize = 4096;
+/// Maximum number of evidence cells in one update to the routers.
+const EVIDENCE_CELLS_PER_UPDATE: usize = 4096;
 
-/// Guards the versions until the process ends.
-pub async fn guard_versions(agent: Rc<Agent>) {
-    let mut pushed = 0;
+/// Checks all versions periodically and suspends bad ones, until the process ends.
+pub async fn run_exposure_guard(agent: Rc<Agent>) {
+    let mut pushed_until = 0;
     let mut unwritten: BTreeMap<VersionName, Suspension> = BTreeMap::new();
     loop {
         sleep(GUARD_PERIOD).await;
-        for suspension in observe(&agent) {
+        for suspension in suspend_bad_versions(&agent) {
             log::warn!(version = suspension.version.to_string(); "suspended: {}", suspension.reason);
             unwritten.insert(suspension.version.clone(), suspension.clone());
             agent.push(&Update::Suspended(
-                agent.shared.borrow().suspensions_in_force(),
+                agent.state.borrow().suspensions_in_force(),
             ));
-            super::gossip::spread(&agent);
+            super::gossip::push_to_random_peers(&agent);
         }
         write_suspensions(&agent, &mut unwritten).await;
-        pushed = push_evidence(&agent, pushed);
+        pushed_until = push_evidence(&agent, pushed_until);
     }
 }
 
-fn observe(agent: &Agent) -> Vec<Suspension> {
+fn suspend_bad_versions(agent: &Agent) -> Vec<Suspension> {
     let now = Now::read();
-    let lifted = agent.shared.borrow().lifted();
-    let sums = agent.shared.borrow().evidence.by_version(&lifted);
+    let lifted = agent.state.borrow().lifted();
+    let sums = agent.state.borrow().evidence.by_version(&lifted);
     let mut guard = agent.guard.borrow_mut();
     guard.follow_lifts(&lifted);
     let mut suspended = Vec::new();
@@ -47,7 +48,7 @@
         let Some(alarm) = guard.observe(version, counts) else {
             continue;
         };
-        let what = match alarm {
+        let reason = match alarm {
             Alarm::Bad => format!(
                 "{} of {} rated answers are bad",
                 counts.bad,
@@ -56,18 +57,18 @@
             Alarm::Failed => format!("{} of {} answers failed", counts.failed, counts.served),
         };
         guard.reset(version);
-        let me = &agent.me.box_name;
+        let box_name = &agent.member.box_name;
         suspended.extend(
             agent
-                .shared
+                .state
                 .borrow_mut()
-                .suspend(version, me, what, now.wall),
+                .suspend(version, box_name, reason, now.wall),
         );
     }
     suspended
 }
 
-/// Writes suspensions to the store, so that boxes that start later find them.
+/// Writes suspensions to the store, so that agents that start later find them.
 async fn write_suspensions(agent: &Rc<Agent>, unwritten: &mut BTreeMap<VersionName, Suspension>) {
     let waiting: Vec<Suspension> = unwritten.values().cloned().collect();
     for suspension in waiting {
@@ -76,28 +77,28 @@
                 unwritten.remove(&suspension.version);
             }
             Err(err) => {
-                log::debug!("a suspension waits for the store: {err}");
+                log::debug!("a suspension could not be written to the store yet: {err}");
                 return;
             }
         }
     }
 }
 
-/// Writes a suspension, unless the store has one that is as new.
+/// Writes a suspension unless the store has one of the same or a later generation.
 ///
-/// Agents that waited for the store write together when it is back, and one that was behind may
-/// write first what operators have lifted since. So whoever finds that another was sooner looks
-/// again at what is there.
+/// When the store is available again, all agents that waited for it write at the same time, and an
+/// agent that was behind may first write a suspension that operators have lifted since. So after a
+/// conflict the stored suspension is compared again.
 async fn write_suspension(agent: &Rc<Agent>, suspension: &Suspension) -> StoreResult<()> {
     let key = suspension_key(&agent.settings.identity.partner, &suspension.version);
     let value = serde_json::to_vec(suspension).expect("a suspension has only plain fields");
     let mut found = agent.store.get(&key).await?;
     loop {
-        let present = found.as_ref().and_then(read_suspension);
-        if let Some(present) = present
-            && present.generation >= suspension.generation
+        let current = found.as_ref().and_then(read_suspension);
+        if let Some(current) = current
+            && current.generation >= suspension.generation
         {
-            take_suspensions(agent, vec![present]);
+            apply_suspensions(agent, vec![current]);
             return Ok(());
         }
         let condition = found.map_or(Condition::Absent, |found| {
@@ -105,7 +106,7 @@
         });
         match agent.store.write_if(&key, condition, &value).await? {
             WriteOutcome::Written => return Ok(()),
-            WriteOutcome::Conflict(sooner) => found = sooner,
+            WriteOutcome::Conflict(latest) => found = latest,
         }
     }
 }
@@ -116,13 +117,14 @@
         .ok()
 }
 
-/// Sends the counts that changed to the routers, which learn from them.
-fn push_evidence(agent: &Agent, pushed: u64) -> u64 {
+/// Sends changed counts to the routers, whose cascades learn from them. Returns the position up to
+/// which counts have been sent.
+fn push_evidence(agent: &Agent, pushed_until: u64) -> u64 {
     let (cells, next) = agent
-        .shared
+        .state
         .borrow()
         .evidence
-        .changed_since(pushed, EVIDENCE_CELLS_TO_ROUTERS);
+        .changed_since(pushed_until, EVIDENCE_CELLS_PER_UPDATE);
     if !cells.is_empty() {
         agent.push(&Update::Evidence(cells));
     }
--- a/src/agent/follow.rs
+++ b/src/agent/follow.rs
@@ -1,12 +1,12 @@
 //! Follows the change log and the live list.
 //!
-//! In each hall one agent (the hub) calls the store, and the next in order calls it
-//! once the hub falls silent, so that the number of calls grows with the halls and
-//! not with the boxes.
+//! In each hall one agent, the hub, calls the store. If the hub falls silent, the next agent in the
+//! hub order replaces it. The number of store calls thus grows with the number of halls and not of
+//! boxes.
 
 use super::Agent;
 use super::gossip;
-use super::shared::Applied;
+use super::gossip_state::AppliedEntry;
 use crate::change::{Generation, SignedEntry};
 use crate::change_log::{raise_head, read_bundle, read_entry, read_head};
 use crate::clock::Now;
@@ -18,22 +18,27 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-const NOT_HUB_PAUSE: Duration = Duration::from_millis(500);
-const FAILURE_PAUSE: Duration = Duration::from_millis(500);
-const LIST_PERIOD: Duration = Duration::from_secs(1);
-const SUSPENSIONS_LIMIT: usize = 100;
+/// How often an agent that is not the hub checks whether it has become the hub.
+const HUB_RECHECK_PERIOD: Duration = Duration::from_millis(500);
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(500);
+const LIVE_LIST_POLL_PERIOD: Duration = Duration::from_secs(1);
+const MAX_SUSPENSIONS: usize = 100;
 
-/// Follows the change log as long as this agent is its hall's hub.
-pub async fn follow_changes(agent: Rc<Agent>) {
+/// Follows the change log while this agent is the hub of its hall. It is read once at start in any
+/// case.
+pub async fn follow_change_log(agent: Rc<Agent>) {
     let mut first = true;
     loop {
         if !first && !agent.is_hub(Now::read()) {
-            sleep(NOT_HUB_PAUSE).await;
+            sleep(HUB_RECHECK_PERIOD).await;
             continue;
         }
         match catch_up(&agent).await {
             Ok(revision) => {
-                agent.shared.borrow_mut().note_store(Now::read().monotonic);
+                agent
+                    .state
+                    .borrow_mut()
+                    .record_store_contact(Now::read().monotonic);
                 first = false;
                 if agent.is_hub(Now::read()) {
                     wait_for_head(&agent, revision).await;
@@ -41,9 +46,9 @@
             }
             Err(err) => {
                 log::debug!("the change log cannot be read: {err}");
-                // Without the store, peers are the way to catch up.
+                // Without the store this agent catches up from its peers.
                 first = false;
-                sleep(FAILURE_PAUSE).await;
+                sleep(STORE_RETRY_DELAY).await;
             }
         }
     }
@@ -52,22 +57,22 @@
 async fn wait_for_head(agent: &Agent, revision: u64) {
     let key = head_key(&agent.settings.identity.partner);
     if agent.store.wait_for_change(&key, revision).await.is_err() {
-        sleep(FAILURE_PAUSE).await;
+        sleep(STORE_RETRY_DELAY).await;
     }
 }
 
-/// Reads all entries behind the known one, and returns the revision to watch from.
+/// Reads all entries after the known one, and returns the revision from which to watch.
 async fn catch_up(agent: &Rc<Agent>) -> StoreResult<u64> {
     let partner = agent.settings.identity.partner.as_str();
     let store = agent.store.as_ref();
     let (head, revision) = read_head(store, partner).await?;
-    let mut generation = agent.shared.borrow().generation().next().max(head);
+    let mut generation = agent.state.borrow().generation().next().max(head);
     while let Some(signed) = read_entry(store, partner, generation).await? {
-        take_entry(agent, signed, BundleSource::Store).await;
+        apply_entry(agent, signed, BundleSource::Store).await;
         generation = generation.next();
     }
-    look_back(agent, head).await?;
-    let newest = agent.shared.borrow().generation();
+    find_newest_valid_entry(agent, head).await?;
+    let newest = agent.state.borrow().generation();
     if newest > head {
         raise_head(store, partner, newest).await?;
     }
@@ -75,17 +80,17 @@
     Ok(revision)
 }
 
-/// Reads backwards to the newest valid entry, where the newest entries are not valid
-/// and nothing is known yet.
-async fn look_back(agent: &Rc<Agent>, head: Generation) -> StoreResult<()> {
+/// Reads backwards to the newest valid entry if no entry has been applied yet because the newest
+/// ones are invalid.
+async fn find_newest_valid_entry(agent: &Rc<Agent>, head: Generation) -> StoreResult<()> {
     let partner = agent.settings.identity.partner.as_str();
     for earlier in (1..head.0).rev() {
-        if agent.shared.borrow().applied().is_some() {
+        if agent.state.borrow().applied().is_some() {
             return Ok(());
         }
         let signed = read_entry(agent.store.as_ref(), partner, Generation(earlier)).await?;
         if let Some(signed) = signed {
-            take_entry(agent, signed, BundleSource::Store).await;
+            apply_entry(agent, signed, BundleSource::Store).await;
         }
     }
     Ok(())
@@ -93,32 +98,32 @@
 
 async fn read_suspensions(agent: &Rc<Agent>) -> StoreResult<()> {
     let prefix = suspension_prefix(&agent.settings.identity.partner);
-    let found = agent.store.list(&prefix, "", SUSPENSIONS_LIMIT).await?;
+    let found = agent.store.list(&prefix, "", MAX_SUSPENSIONS).await?;
     let parse = |value: &[u8]| serde_json::from_slice::<Suspension>(value).ok();
     let suspensions = found
         .iter()
         .filter_map(|(_, found)| parse(&found.value))
         .collect();
-    take_suspensions(agent, suspensions);
+    apply_suspensions(agent, suspensions);
     Ok(())
 }
 
-/// Where an entry's bundle is looked for.
+/// Where to get the bundle of an entry.
 #[derive(Debug, Clone, Copy)]
 pub enum BundleSource {
     /// The store.
     Store,
-    /// The peer that sent the entry, and then the store.
+    /// The peer that sent the entry, or else the store.
     Peer(std::net::SocketAddr),
 }
 
-/// Verifies an entry and takes it if it is newer, with its bundle.
-pub async fn take_entry(agent: &Rc<Agent>, signed: SignedEntry, source: BundleSource) {
+/// Verifies an entry and applies it together with its bundle if it is newer.
+pub async fn apply_entry(agent: &Rc<Agent>, signed: SignedEntry, source: BundleSource) {
     let verified = signed.verify(&agent.settings.identity.partner, &agent.settings.operators);
     let entry = match verified {
         Ok(entry) => entry,
         Err(err) => {
-            log::error!("an entry of the change log is not taken: {err}");
+            log::error!("rejecting an invalid entry of the change log: {err}");
             return;
         }
     };
@@ -133,7 +138,7 @@
             Some(text) => Some(text),
             None => {
                 log::warn!(
-                    "entry {} waits for its bundle {digest:.12}",
+                    "entry {} is not applied yet: its bundle {digest:.12} is not available",
                     entry.generation
                 );
                 return;
@@ -143,12 +148,12 @@
     let generation = entry.generation;
     let action = entry.action.to_string();
     let operator = entry.operator.clone();
-    let applied = Applied {
+    let applied = AppliedEntry {
         signed: signed.clone(),
         entry,
         bundle: bundle.clone(),
     };
-    if !agent.shared.borrow_mut().apply(applied) {
+    if !agent.state.borrow_mut().apply_entry(applied) {
         return;
     }
     log::info!(generation = generation.0, operator = operator.as_str(); "in force: {action}");
@@ -157,18 +162,18 @@
         bundle,
     });
     agent.push(&Update::Suspended(
-        agent.shared.borrow().suspensions_in_force(),
+        agent.state.borrow().suspensions_in_force(),
     ));
-    gossip::spread(agent);
+    gossip::push_to_random_peers(agent);
 }
 
 async fn find_bundle(agent: &Agent, digest: &str, source: BundleSource) -> Option<String> {
-    let present = agent
-        .shared
+    let current = agent
+        .state
         .borrow()
         .applied()
         .and_then(|applied| applied.bundle.clone());
-    if let Some(text) = present.filter(|text| crate::bundle::digest_of(text) == digest) {
+    if let Some(text) = current.filter(|text| crate::bundle::digest_of(text) == digest) {
         return Some(text);
     }
     if let BundleSource::Peer(address) = source
@@ -182,26 +187,26 @@
         .flatten()
 }
 
-/// Follows the live list as long as this agent is its hall's hub, or knows no list.
-pub async fn follow_list(agent: Rc<Agent>) {
+/// Polls the live list while this agent is the hub of its hall or has no list.
+pub async fn poll_live_list(agent: Rc<Agent>) {
     loop {
         if agent.is_hub(Now::read()) {
             match agent.list.fetch().await {
-                Ok(list) => take_list(&agent, list),
+                Ok(list) => apply_live_list(&agent, list),
                 Err(err) => log::debug!("the live list cannot be read: {err}"),
             }
         }
-        sleep(LIST_PERIOD).await;
+        sleep(LIVE_LIST_POLL_PERIOD).await;
     }
 }
 
-/// Takes a list if it is newer, and passes it on.
-pub fn take_list(agent: &Rc<Agent>, list: crate::live::LiveList) {
-    if !agent.shared.borrow_mut().merge_list(list) {
+/// Applies a list if it is newer, and sends it to the routers and to peers.
+pub fn apply_live_list(agent: &Rc<Agent>, list: crate::live::LiveList) {
+    if !agent.state.borrow_mut().merge_list(list) {
         return;
     }
-    let shared = agent.shared.borrow();
-    let Some(list) = shared.list() else {
+    let state = agent.state.borrow();
+    let Some(list) = state.list() else {
         return;
     };
     agent.push(&Update::Live(list.clone()));
@@ -209,21 +214,21 @@
         list.boxes.iter().any(|listed| listed.address == *address)
             || agent.settings.seeds.contains(address)
     };
-    agent.peers.keep_only(in_use);
-    drop(shared);
-    gossip::spread(agent);
+    agent.peers.retain_addresses(in_use);
+    drop(state);
+    gossip::push_to_random_peers(agent);
 }
 
-/// Takes suspensions that are new, and passes them on.
-pub fn take_suspensions(agent: &Rc<Agent>, suspensions: Vec<Suspension>) {
+/// Applies suspensions that are newer, and sends them to the routers and to peers.
+pub fn apply_suspensions(agent: &Rc<Agent>, suspensions: Vec<Suspension>) {
     let mut changed = false;
     for suspension in suspensions {
-        changed |= agent.shared.borrow_mut().merge_suspension(suspension);
+        changed |= agent.state.borrow_mut().merge_suspension(suspension);
     }
     if changed {
         agent.push(&Update::Suspended(
-            agent.shared.borrow().suspensions_in_force(),
+            agent.state.borrow().suspensions_in_force(),
         ));
-        gossip::spread(agent);
+        gossip::push_to_random_peers(agent);
     }
 }
--- a/src/agent/gossip.rs
+++ b/src/agent/gossip.rs
@@ -1,13 +1,13 @@
-//! Compares notes with peers: every agent with a few others, twice a second.
+//! Gossip between agents: each exchanges state with a few peers twice a second.
 //!
-//! What is new is passed on at once to a few peers, who pass it on in turn; the
-//! regular comparison repairs what got lost on the way. A box that can be reached
-//! by any road thus catches up, also when the store is away.
+//! New state is pushed to a few random peers immediately, which push it further; the periodic
+//! exchange (anti-entropy) repairs losses. So a box that any peer can reach catches up, even while
+//! the store is unavailable.
 
 use super::Agent;
-use super::crashes::take_crashes;
-use super::follow::{BundleSource, take_entry, take_list, take_suspensions};
-use super::placement::{WATCHED_HUBS, hub_order};
+use super::assignment::{CLOSELY_WATCHED_HUBS, hub_order};
+use super::crash_records::merge_crash_records;
+use super::follow::{BundleSource, apply_entry, apply_live_list, apply_suspensions};
 use crate::claim::view::View;
 use crate::clock::Now;
 use crate::live::{AGENT_SERVICE, ListedBox};
@@ -19,50 +19,50 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-const COMPARE_PERIOD: Duration = Duration::from_millis(500);
-const COMPARE_DEADLINE: Duration = Duration::from_millis(800);
-const BUNDLE_DEADLINE: Duration = Duration::from_secs(2);
-const RANDOM_PEERS: usize = 1;
-/// In one of so many rounds an agent compares notes with one of its hall's first hubs.
-const HUB_ROUNDS: u32 = 10;
-const SPREAD_PEERS: usize = 3;
+const GOSSIP_PERIOD: Duration = Duration::from_millis(500);
+const GOSSIP_DEADLINE: Duration = Duration::from_millis(800);
+const BUNDLE_FETCH_DEADLINE: Duration = Duration::from_secs(2);
+const RANDOM_PEERS_PER_ROUND: usize = 1;
+/// One in this many gossip rounds includes one of the first agents in the hall's hub order.
+const ROUNDS_BETWEEN_HUB_CONTACTS: u32 = 10;
+const FANOUT_PEERS: usize = 3;
 
-/// Compares notes with peers until the process ends.
-pub async fn compare_with_peers(agent: Rc<Agent>) {
-    // Agents begin at different rounds, so that hubs do not hear all of them at once.
+/// Runs gossip rounds until the process ends.
+pub async fn run_gossip(agent: Rc<Agent>) {
+    // Agents start at random rounds, so that they do not all contact the hubs at the same time.
     let mut round: u32 = rand::random();
     loop {
         round = round.wrapping_add(1);
-        let mut addresses = regular_peers(&agent);
-        if round.is_multiple_of(HUB_ROUNDS) {
-            addresses.extend(some_hub(&agent));
+        let mut addresses = peers_of_round(&agent);
+        if round.is_multiple_of(ROUNDS_BETWEEN_HUB_CONTACTS) {
+            addresses.extend(random_hub(&agent));
         }
         for address in addresses {
-            actix_rt::spawn(compare(agent.clone(), address));
+            actix_rt::spawn(exchange_with(agent.clone(), address));
         }
-        sleep(COMPARE_PERIOD).await;
+        sleep(GOSSIP_PERIOD).await;
     }
 }
 
-/// Returns the address of one of the agents that are first in the hall's order of hubs,
-/// so that agents behind them hear that somebody calls the store.
-fn some_hub(agent: &Agent) -> Option<SocketAddr> {
-    let shared = agent.shared.borrow();
-    let order = hub_order(shared.list()?, &agent.settings.identity.hall);
-    let first = &order[..order.len().min(WATCHED_HUBS)];
+/// Returns the address of a random one of the first agents in the hall's hub order, from which
+/// agents later in the order learn that the hub is alive.
+fn random_hub(agent: &Agent) -> Option<SocketAddr> {
+    let state = agent.state.borrow();
+    let order = hub_order(state.list()?, &agent.settings.identity.hall);
+    let first = &order[..order.len().min(CLOSELY_WATCHED_HUBS)];
     let chosen = first.choose(&mut rand::rng())?;
-    (chosen.name != agent.me.box_name).then_some(chosen.address)
+    (chosen.name != agent.member.box_name).then_some(chosen.address)
 }
 
-/// Returns the addresses to compare with in this round: the partners in claims, the
-/// agents before this one in the order of hubs, and a few at random.
-fn regular_peers(agent: &Agent) -> BTreeSet<SocketAddr> {
-    let shared = agent.shared.borrow();
-    let Some(list) = shared.list() else {
+/// Returns the peers for one gossip round: the other members of this agent's shards, the agents
+/// before it in the hub order if it is one of the first, and random peers.
+fn peers_of_round(agent: &Agent) -> BTreeSet<SocketAddr> {
+    let state = agent.state.borrow();
+    let Some(list) = state.list() else {
         return agent.settings.seeds.iter().copied().collect();
     };
     let mut names: BTreeSet<&str> = BTreeSet::new();
-    for view in shared.views().filter(|view| view.includes(&agent.me)) {
+    for view in state.views().filter(|view| view.includes(&agent.member)) {
         names.insert(&view.owner.box_name);
         names.extend(
             view.witness
@@ -73,11 +73,11 @@
     let order = hub_order(list, &agent.settings.identity.hall);
     let position = order
         .iter()
-        .position(|listed| listed.name == agent.me.box_name);
-    if position.is_some_and(|position| position < WATCHED_HUBS) {
+        .position(|listed| listed.name == agent.member.box_name);
+    if position.is_some_and(|position| position < CLOSELY_WATCHED_HUBS) {
         let before = order
             .iter()
-            .take_while(|listed| listed.name != agent.me.box_name);
+            .take_while(|listed| listed.name != agent.member.box_name);
         names.extend(before.map(|listed| listed.name.as_str()));
     }
     let agents: Vec<&ListedBox> = list.of_service(AGENT_SERVICE).collect();
@@ -85,125 +85,129 @@
         .iter()
         .filter(|listed| names.contains(listed.name.as_str()));
     let mut addresses: BTreeSet<SocketAddr> = by_name.map(|listed| listed.address).collect();
-    let random = agents.choose_multiple(&mut rand::rng(), RANDOM_PEERS);
+    let random = agents.choose_multiple(&mut rand::rng(), RANDOM_PEERS_PER_ROUND);
     addresses.extend(random.map(|listed| listed.address));
-    if agents.len() <= SPREAD_PEERS {
+    if agents.len() <= FANOUT_PEERS {
         addresses.extend(&agent.settings.seeds);
     }
     addresses.remove(&agent.settings.listen);
     addresses
 }
 
-/// Passes on what is new to a few peers.
-pub fn spread(agent: &Rc<Agent>) {
-    let shared = agent.shared.borrow();
-    let Some(list) = shared.list() else {
+/// Starts an exchange with a few random peers, to spread new state without delay.
+pub fn push_to_random_peers(agent: &Rc<Agent>) {
+    let state = agent.state.borrow();
+    let Some(list) = state.list() else {
         return;
     };
     let others: Vec<&ListedBox> = list
         .of_service(AGENT_SERVICE)
         .filter(|listed| listed.address != agent.settings.listen)
         .collect();
-    for listed in others.choose_multiple(&mut rand::rng(), SPREAD_PEERS) {
-        actix_rt::spawn(compare(agent.clone(), listed.address));
+    for listed in others.choose_multiple(&mut rand::rng(), FANOUT_PEERS) {
+        actix_rt::spawn(exchange_with(agent.clone(), listed.address));
     }
 }
 
-/// Tells the partners in claims and a few others that this agent is stopping.
-pub async fn announce(agent: &Rc<Agent>) {
-    let told = regular_peers(agent)
+/// Announces to the members of its shards and a few other peers that this agent is stopping.
+pub async fn announce_stop(agent: &Rc<Agent>) {
+    let exchanges = peers_of_round(agent)
         .into_iter()
-        .map(|address| compare(agent.clone(), address));
-    futures::future::join_all(told).await;
+        .map(|address| exchange_with(agent.clone(), address));
+    futures::future::join_all(exchanges).await;
 }
 
-async fn compare(agent: Rc<Agent>, address: SocketAddr) {
+/// Sends a summary to a peer and merges the newer state that it returns.
+async fn exchange_with(agent: Rc<Agent>, address: SocketAddr) {
     let after = agent.peers.evidence_sent(address);
     let (summary, next) =
         agent
-            .shared
+            .state
             .borrow()
-            .summary(&agent.me, agent.stopping.get(), after, Now::read());
+            .summary(&agent.member, agent.stopping.get(), after, Now::read());
     let client = agent.peers.client(address);
     let answer = client
-        .call(&ControlRequest::Compare(summary), COMPARE_DEADLINE)
+        .call(&ControlRequest::Compare(summary), GOSSIP_DEADLINE)
         .await;
     if let Ok(ControlResponse::Newer(newer)) = answer {
-        agent.peers.note_evidence_sent(address, next);
-        absorb(&agent, *newer, address).await;
+        agent.peers.record_evidence_sent(address, next);
+        merge_newer(&agent, *newer, address).await;
     }
 }
 
-/// Answers a peer's summary with what is newer here, and asks back if the peer is ahead.
-pub fn answer(agent: &Rc<Agent>, theirs: &Summary) -> ControlResponse {
+/// Responds to a peer's summary with what is newer here, and starts an exchange with the peer if it
+/// has newer state.
+pub fn answer_summary(agent: &Rc<Agent>, theirs: &Summary) -> ControlResponse {
     let now = Now::read();
-    note_summary(agent, theirs, now);
-    let shared = agent.shared.borrow();
-    if shared.is_behind(theirs) {
-        let address = address_of(agent, &theirs.member.box_name);
+    record_summary(agent, theirs, now);
+    let state = agent.state.borrow();
+    if state.is_behind(theirs) {
+        let address = agent_address(agent, &theirs.member.box_name);
         if let Some(address) = address
-            && agent.comparing.borrow_mut().insert(address)
+            && agent.pulls_in_progress.borrow_mut().insert(address)
         {
-            actix_rt::spawn(ask_back(agent.clone(), address));
+            actix_rt::spawn(pull_from(agent.clone(), address));
         }
     }
-    let mut newer = shared.newer_than(theirs);
-    let (summary, _) = shared.summary(&agent.me, agent.stopping.get(), u64::MAX, now);
+    let mut newer = state.newer_than(theirs);
+    let (summary, _) = state.summary(&agent.member, agent.stopping.get(), u64::MAX, now);
     newer.summary = Some(summary);
     ControlResponse::Newer(Box::new(newer))
 }
 
-async fn ask_back(agent: Rc<Agent>, address: SocketAddr) {
-    compare(agent.clone(), address).await;
-    agent.comparing.borrow_mut().remove(&address);
+async fn pull_from(agent: Rc<Agent>, address: SocketAddr) {
+    exchange_with(agent.clone(), address).await;
+    agent.pulls_in_progress.borrow_mut().remove(&address);
 }
 
-fn note_summary(agent: &Rc<Agent>, theirs: &Summary, now: Now) {
-    agent.peers.note(&theirs.member, theirs.stopping, now);
-    let mut shared = agent.shared.borrow_mut();
+fn record_summary(agent: &Rc<Agent>, theirs: &Summary, now: Now) {
+    agent
+        .peers
+        .record_contact(&theirs.member, theirs.stopping, now);
+    let mut state = agent.state.borrow_mut();
     if let Some(age) = theirs.store_age_ms {
-        shared.note_store(now.monotonic.saturating_sub(Duration::from_millis(age)));
+        state.record_store_contact(now.monotonic.saturating_sub(Duration::from_millis(age)));
     }
-    shared.evidence.merge(&theirs.evidence);
-    drop(shared);
-    take_crashes(agent, theirs.crashes.clone());
+    state.evidence.merge(&theirs.evidence);
+    drop(state);
+    merge_crash_records(agent, theirs.crashes.clone());
 }
 
-async fn absorb(agent: &Rc<Agent>, newer: Newer, from: SocketAddr) {
+async fn merge_newer(agent: &Rc<Agent>, newer: Newer, from: SocketAddr) {
     if let Some(summary) = &newer.summary {
-        note_summary(agent, summary, Now::read());
+        record_summary(agent, summary, Now::read());
     }
     if let Some(list) = newer.list {
-        take_list(agent, list);
+        apply_live_list(agent, list);
     }
-    take_views(agent, &newer.views);
-    take_suspensions(agent, newer.suspensions);
+    merge_views(agent, &newer.views);
+    apply_suspensions(agent, newer.suspensions);
     if let Some(signed) = newer.entry {
-        take_entry(agent, signed, BundleSource::Peer(from)).await;
+        apply_entry(agent, signed, BundleSource::Peer(from)).await;
     }
 }
 
-/// Takes views that are newer, and passes them on.
-pub fn take_views(agent: &Rc<Agent>, views: &[View]) {
+/// Merges views that are newer, and pushes them to peers.
+pub fn merge_views(agent: &Rc<Agent>, views: &[View]) {
     let mut changed = false;
     for view in views {
-        if agent.shared.borrow_mut().merge_view(view) {
+        if agent.state.borrow_mut().merge_view(view) {
             changed = true;
             super::claims::apply_view(agent, view);
         }
     }
     if changed {
-        spread(agent);
+        push_to_random_peers(agent);
     }
 }
 
-/// Fetches a bundle's text from a peer and checks its digest.
+/// Fetches the text of a bundle from a peer and verifies its digest.
 pub async fn fetch_bundle(agent: &Agent, from: SocketAddr, digest: &str) -> Option<String> {
     let request = ControlRequest::FetchBundle(digest.to_owned());
     match agent
         .peers
         .client(from)
-        .call(&request, BUNDLE_DEADLINE)
+        .call(&request, BUNDLE_FETCH_DEADLINE)
         .await
     {
         Ok(ControlResponse::Bundle(text)) => {
@@ -213,10 +217,10 @@
     }
 }
 
-/// Returns where the agent of a box listens.
-pub fn address_of(agent: &Agent, box_name: &str) -> Option<SocketAddr> {
-    let shared = agent.shared.borrow();
-    let list = shared.list()?;
+/// Returns the address of the agent on a box.
+pub fn agent_address(agent: &Agent, box_name: &str) -> Option<SocketAddr> {
+    let state = agent.state.borrow();
+    let list = state.list()?;
     let found = list
         .of_service(AGENT_SERVICE)
         .find(|listed| listed.name == box_name);
--- a/src/agent/shared.rs
+++ b/src/agent/gossip_state.rs
@@ -1,4 +1,5 @@
-//! What an agent has heard, merged so that order, repetition and delay do not matter.
+//! State that agents replicate by gossip. Merges are commutative and idempotent, so order,
+//! repetition and delay of messages do not matter.
 
 use crate::change::{ChangeEntry, Generation, SignedEntry, supersedes};
 use crate::claim::view::{Member, ShardId, View};
@@ -12,54 +13,54 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The greatest number of evidence cells in one comparison of two agents.
+/// Maximum number of evidence cells in one summary.
 const EVIDENCE_CELLS_PER_MESSAGE: usize = 16;
 
-/// The greatest number of records of crashes in one comparison, and in what a router is told first.
+/// Maximum number of crash records in one summary, and in the initial state for a router.
 const CRASH_RECORDS_PER_MESSAGE: usize = 16;
 
-/// The newest entry of the change log, with the bundle that it puts into force.
+/// An applied entry of the change log with the bundle that it puts in force.
 #[derive(Debug, Clone)]
-pub struct Applied {
-    /// The entry as it was signed.
+pub struct AppliedEntry {
+    /// Signed form of the entry.
     pub signed: SignedEntry,
-    /// The entry.
+    /// Verified content of the entry.
     pub entry: ChangeEntry,
-    /// The text of the bundle in force.
+    /// Text of the bundle in force.
     pub bundle: Option<String>,
 }
 
-/// What an agent has heard from the store and from its peers.
+/// State that an agent received from the store and from its peers.
 #[derive(Debug, Default)]
-pub struct Shared {
-    applied: Option<Applied>,
+pub struct GossipState {
+    applied: Option<AppliedEntry>,
     list: Option<LiveList>,
     views: BTreeMap<ShardId, View>,
     suspensions: BTreeMap<VersionName, Suspension>,
-    /// The counts of all routers.
+    /// Counts reported by all routers.
     pub evidence: Evidence,
-    /// The requests that were at crashes of upstreams.
+    /// Requests that were running at upstreams that crashed.
     pub crashes: CrashLedger,
-    store_heard: Option<Duration>,
+    last_store_contact: Option<Duration>,
 }
 
-impl Shared {
-    /// Returns the newest entry.
-    pub fn applied(&self) -> Option<&Applied> {
+impl GossipState {
+    /// Returns the newest applied entry.
+    pub fn applied(&self) -> Option<&AppliedEntry> {
         self.applied.as_ref()
     }
 
-    /// Returns the generation of the newest entry.
+    /// Returns the generation of the newest applied entry.
     pub fn generation(&self) -> Generation {
         self.applied
             .as_ref()
             .map_or(Generation(0), |applied| applied.entry.generation)
     }
 
-    /// Takes a verified entry if it replaces the present one.
-    pub fn apply(&mut self, new: Applied) -> bool {
-        let present = self.applied.as_ref().map(|applied| &applied.entry);
-        if !supersedes(&new.entry, present) {
+    /// Applies a verified entry if it supersedes the current one. Returns whether it did.
+    pub fn apply_entry(&mut self, new: AppliedEntry) -> bool {
+        let current = self.applied.as_ref().map(|applied| &applied.entry);
+        if !supersedes(&new.entry, current) {
             return false;
         }
         self.applied = Some(new);
@@ -71,12 +72,12 @@
         self.list.as_ref()
     }
 
-    /// Takes a list if it is newer.
+    /// Replaces the live list if the given one is newer. Returns whether it was.
     pub fn merge_list(&mut self, list: LiveList) -> bool {
         if self
             .list
             .as_ref()
-            .is_some_and(|present| present.revision >= list.revision)
+            .is_some_and(|current| current.revision >= list.revision)
         {
             return false;
         }
@@ -94,12 +95,12 @@
         self.views.values()
     }
 
-    /// Takes a view if it is newer.
+    /// Replaces a shard's view if the given one is newer. Returns whether it was.
     pub fn merge_view(&mut self, view: &View) -> bool {
         if self
             .views
             .get(&view.shard)
-            .is_some_and(|present| present.epoch >= view.epoch)
+            .is_some_and(|current| current.epoch >= view.epoch)
         {
             return false;
         }
@@ -107,10 +108,11 @@
         true
     }
 
-    /// Takes a suspension; the one made at the highest generation counts.
+    /// Merges a suspension; of several for a version the one of the highest generation is kept.
+    /// Returns whether it is new.
     pub fn merge_suspension(&mut self, suspension: Suspension) -> bool {
-        let present = self.suspensions.get(&suspension.version);
-        if present.is_some_and(|present| present.generation >= suspension.generation) {
+        let current = self.suspensions.get(&suspension.version);
+        if current.is_some_and(|current| current.generation >= suspension.generation) {
             return false;
         }
         self.suspensions
@@ -118,7 +120,7 @@
         true
     }
 
-    /// Returns all suspensions heard of, lifted ones too.
+    /// Returns all known suspensions, including lifted ones.
     pub fn suspensions(&self) -> Vec<Suspension> {
         self.suspensions.values().cloned().collect()
     }
@@ -137,24 +139,25 @@
             .collect()
     }
 
-    /// Returns the generation at which operators lifted each version's suspension last.
+    /// Returns the generation of the newest lift of each version's suspension by operators.
     pub fn lifted(&self) -> BTreeMap<VersionName, Generation> {
         let applied = self.applied.as_ref();
         applied.map_or_else(BTreeMap::new, |applied| applied.entry.state.lifted.clone())
     }
 
-    /// Records that the store answered at a moment.
-    pub fn note_store(&mut self, at: Duration) {
-        self.store_heard = self.store_heard.max(Some(at));
+    /// Records that the store responded at the given monotonic time.
+    pub fn record_store_contact(&mut self, at: Duration) {
+        self.last_store_contact = self.last_store_contact.max(Some(at));
     }
 
-    /// Returns how long ago the store was heard from.
+    /// Returns the time since the last known response of the store.
     pub fn store_age(&self, now: Now) -> Option<Duration> {
-        self.store_heard
+        self.last_store_contact
             .map(|heard| now.monotonic.saturating_sub(heard))
     }
 
-    /// Sums up what is known, for one peer; `evidence_after` is what the peer has.
+    /// Summarises the state for one peer. `evidence_after` is the position up to which the peer has
+    /// the evidence; the new position is returned with the summary.
     pub fn summary(
         &self,
         member: &Member,
@@ -180,12 +183,12 @@
         (summary, next)
     }
 
-    /// Returns what others are told of crashes.
+    /// Returns the crash records for peers and routers.
     pub fn crash_records(&self, now: Now) -> Vec<CrashRecord> {
         self.crashes.most_telling(CRASH_RECORDS_PER_MESSAGE, now)
     }
 
-    /// Returns what is known here and not to a peer that sent its summary.
+    /// Returns the state that is newer here than in a peer's summary.
     pub fn newer_than(&self, theirs: &Summary) -> Newer {
         let entry = self.applied.as_ref();
         let entry = entry.filter(|applied| applied.entry.generation > theirs.generation);
@@ -212,7 +215,7 @@
         }
     }
 
-    /// Tells whether a peer's summary speaks of something that is not known here.
+    /// Returns whether a peer's summary differs from this state in anything that may be newer there.
     pub fn is_behind(&self, theirs: &Summary) -> bool {
         theirs.generation > self.generation()
             || theirs.list_revision > self.list.as_ref().map_or(0, |list| list.revision)
@@ -220,7 +223,7 @@
             || theirs.suspensions_digest != digest(&self.suspensions)
     }
 
-    /// Makes a suspension at the present generation.
+    /// Suspends a version at the current generation. Returns none if it is already suspended.
     pub fn suspend(
         &mut self,
         version: &VersionName,
@@ -236,7 +239,7 @@
             reason,
         };
         let in_force = self.suspensions_in_force();
-        if in_force.iter().any(|present| present.version == *version) {
+        if in_force.iter().any(|current| current.version == *version) {
             return None;
         }
         self.merge_suspension(suspension.clone())
--- a/src/agent/peers.rs
+++ b/src/agent/peers.rs
@@ -1,4 +1,4 @@
-//! Which peers there are, and which of them were heard lately.
+//! Clients and last contacts of the peers of an agent.
 
 use crate::claim::view::Member;
 use crate::clock::Now;
@@ -13,13 +13,13 @@
 /// How long a peer may be silent before its duties are taken over.
 pub const SILENCE_LIMIT: Duration = Duration::from_secs(2);
 
-/// How long an agent that hears its hall's hubs only now and then waits before it
-/// calls the store itself.
-pub const FAR_SILENCE_LIMIT: Duration = Duration::from_secs(30);
+/// Silence limit for agents that are in contact with the hubs of their hall only occasionally;
+/// after it they call the store themselves.
+pub const INFREQUENT_CONTACT_SILENCE_LIMIT: Duration = Duration::from_secs(30);
 
-/// The last that was heard of a box's agent.
+/// Last contact with the agent of a box.
 #[derive(Debug, Clone, Copy)]
-struct Heard {
+struct LastContact {
     incarnation: u64,
     at: Duration,
     stopping: bool,
@@ -30,20 +30,20 @@
 pub struct Peers {
     tls: FleetTls,
     clients: RefCell<HashMap<SocketAddr, Rc<WireClient>>>,
-    heard: RefCell<HashMap<String, Heard>>,
+    contacts: RefCell<HashMap<String, LastContact>>,
     evidence_sent: RefCell<HashMap<SocketAddr, u64>>,
-    started: Duration,
+    listening_since: Duration,
 }
 
 impl Peers {
-    /// Makes a set without peers.
+    /// Creates an empty set of peers.
     pub fn new(tls: FleetTls, now: Now) -> Self {
         Self {
             tls,
             clients: RefCell::default(),
-            heard: RefCell::default(),
+            contacts: RefCell::default(),
             evidence_sent: RefCell::default(),
-            started: now.monotonic,
+            listening_since: now.monotonic,
         }
     }
 
@@ -54,8 +54,8 @@
         clients.entry(address).or_insert_with(make).clone()
     }
 
-    /// Forgets the clients of addresses that are no longer in use.
-    pub fn keep_only(&self, in_use: impl Fn(&SocketAddr) -> bool) {
+    /// Removes the clients of addresses that are no longer in use.
+    pub fn retain_addresses(&self, in_use: impl Fn(&SocketAddr) -> bool) {
         self.clients
             .borrow_mut()
             .retain(|address, _| in_use(address));
@@ -64,76 +64,81 @@
             .retain(|address, _| in_use(address));
     }
 
-    /// Records that a member was heard; an earlier life of its box does not count.
-    pub fn note(&self, member: &Member, stopping: bool, now: Now) {
-        let mut heard = self.heard.borrow_mut();
-        let new = Heard {
+    /// Records a contact with a member. Contacts of an earlier incarnation than known are ignored.
+    pub fn record_contact(&self, member: &Member, stopping: bool, now: Now) {
+        let mut contacts = self.contacts.borrow_mut();
+        let new = LastContact {
             incarnation: member.incarnation,
             at: now.monotonic,
             stopping,
         };
-        match heard.get_mut(&member.box_name) {
-            Some(present) if present.incarnation > new.incarnation => {}
-            Some(present) => *present = new,
+        match contacts.get_mut(&member.box_name) {
+            Some(current) if current.incarnation > new.incarnation => {}
+            Some(current) => *current = new,
             None => {
-                heard.insert(member.box_name.clone(), new);
+                contacts.insert(member.box_name.clone(), new);
             }
         }
     }
 
-    /// Tells whether a member has been silent for too long, or is stopping.
+    /// Returns whether a member has been silent for too long, or is stopping.
     ///
-    /// Who was never heard counts as silent only once this agent has listened long enough.
+    /// The silence of a member that has never been in contact is measured from the start of this
+    /// agent.
     pub fn is_silent(&self, member: &Member, now: Now) -> bool {
-        let heard = self.heard.borrow();
-        let heard = heard.get(&member.box_name);
-        let heard = heard.filter(|heard| heard.incarnation == member.incarnation);
-        if heard.is_some_and(|heard| heard.stopping) {
+        let contacts = self.contacts.borrow();
+        let contact = contacts.get(&member.box_name);
+        let contact = contact.filter(|contact| contact.incarnation == member.incarnation);
+        if contact.is_some_and(|contact| contact.stopping) {
             return true;
         }
-        let since = heard.map_or(self.started, |heard| heard.at);
+        let since = contact.map_or(self.listening_since, |contact| contact.at);
         now.monotonic.saturating_sub(since) > SILENCE_LIMIT
     }
 
-    /// Tells whether a box has been silent for too long, in whichever life.
+    /// Returns whether a box has been silent for too long, in any incarnation.
     pub fn is_box_silent(&self, box_name: &str, now: Now) -> bool {
         self.is_box_silent_for(box_name, SILENCE_LIMIT, now)
     }
 
-    /// Tells whether a box has been silent for longer than a limit, in whichever life.
+    /// Returns whether a box has been silent for longer than a limit, in any incarnation.
     pub fn is_box_silent_for(&self, box_name: &str, limit: Duration, now: Now) -> bool {
-        let heard = self.heard.borrow();
-        let since = heard.get(box_name).map_or(self.started, |heard| heard.at);
+        let contacts = self.contacts.borrow();
+        let since = contacts
+            .get(box_name)
+            .map_or(self.listening_since, |contact| contact.at);
         now.monotonic.saturating_sub(since) > limit
     }
 
-    /// Returns a box's present life, if it was heard lately and is not stopping.
-    pub fn heard_lately(&self, box_name: &str, now: Now) -> Option<Member> {
-        let heard = *self.heard.borrow().get(box_name)?;
-        let lately = now.monotonic.saturating_sub(heard.at) <= SILENCE_LIMIT && !heard.stopping;
+    /// Returns the current member on a box, if it was in contact recently and is not stopping.
+    pub fn live_member(&self, box_name: &str, now: Now) -> Option<Member> {
+        let contact = *self.contacts.borrow().get(box_name)?;
+        let is_recent =
+            now.monotonic.saturating_sub(contact.at) <= SILENCE_LIMIT && !contact.stopping;
         let member = Member {
             box_name: box_name.to_owned(),
-            incarnation: heard.incarnation,
+            incarnation: contact.incarnation,
         };
-        lately.then_some(member)
+        is_recent.then_some(member)
     }
 
-    /// Tells whether a later life of a member's box was heard, which proves that the
-    /// member is gone: an agent listens on its address exclusively.
-    pub fn has_later_life(&self, member: &Member) -> bool {
-        let heard = self.heard.borrow();
-        heard
+    /// Returns whether a later incarnation on the member's box was in contact. This proves that the
+    /// member is gone, because an agent listens on its address exclusively.
+    pub fn has_later_incarnation(&self, member: &Member) -> bool {
+        let contacts = self.contacts.borrow();
+        contacts
             .get(&member.box_name)
-            .is_some_and(|heard| heard.incarnation > member.incarnation)
+            .is_some_and(|contact| contact.incarnation > member.incarnation)
     }
 
-    /// Returns how many boxes were heard lately.
-    pub fn heard_count(&self, now: Now) -> usize {
-        let lately = |heard: &&Heard| now.monotonic.saturating_sub(heard.at) <= SILENCE_LIMIT;
-        self.heard.borrow().values().filter(lately).count()
+    /// Returns the number of boxes that were in contact recently.
+    pub fn recently_heard_count(&self, now: Now) -> usize {
+        let is_recent =
+            |contact: &&LastContact| now.monotonic.saturating_sub(contact.at) <= SILENCE_LIMIT;
+        self.contacts.borrow().values().filter(is_recent).count()
     }
 
-    /// Returns the number of the last evidence that was sent to an address.
+    /// Returns the position up to which evidence was sent to an address.
     pub fn evidence_sent(&self, address: SocketAddr) -> u64 {
         self.evidence_sent
             .borrow()
@@ -142,12 +147,12 @@
             .unwrap_or(0)
     }
 
-    /// Records which evidence was sent to an address.
-    pub fn note_evidence_sent(&self, address: SocketAddr, version: u64) {
+    /// Records the position up to which evidence was sent to an address.
+    pub fn record_evidence_sent(&self, address: SocketAddr, version: u64) {
         self.evidence_sent.borrow_mut().insert(address, version);
     }
 
-    /// Returns the bytes of all messages sent to the present peers so far.
+    /// Returns the total size of the messages that were sent to the current peers.
     pub fn bytes_sent(&self) -> u64 {
         self.clients
             .borrow()
--- a/src/agent/shards.rs
+++ b/src/agent/shards.rs
@@ -1,11 +1,12 @@
-//! Keeps each shard of this hall in the hands of an owner and a witness.
+//! Maintains owner and witness of each shard of this hall: witness replacement, takeover, handover
+//! and recovery of lost shards.
 //!
-//! Every change of hands is a compare-and-swap of the shard's view in the store.
+//! Each change of members is a compare-and-swap of the shard's view in the store.
 
 use super::Agent;
-use super::claims::{WITNESS_DEADLINE, ask_witness, with_replica};
-use super::gossip::{address_of, take_views};
-use super::placement::{choose_witness, is_first};
+use super::assignment::{choose_witness, is_first};
+use super::claims::{WITNESS_DEADLINE, replicate_to_witness, with_replica};
+use super::gossip::{agent_address, merge_views};
 use crate::claim::SHARDS_PER_HALL;
 use crate::claim::replica::Replica;
 use crate::claim::view::{Member, Members, ShardId, View};
@@ -18,11 +19,13 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
+/// Deadline for one part of a table transfer.
 const SYNC_DEADLINE: Duration = Duration::from_secs(2);
 const MAINTENANCE_PERIOD: Duration = Duration::from_millis(250);
-const HAND_OVER_LIMIT: Duration = Duration::from_secs(4);
+/// How long a planned stop may take to hand over shards.
+const HANDOVER_LIMIT: Duration = Duration::from_secs(4);
 
-/// Keeps the shards in good hands until the process ends.
+/// Maintains the shards until the process ends.
 pub async fn maintain_shards(agent: Rc<Agent>) {
     loop {
         sleep(MAINTENANCE_PERIOD).await;
@@ -38,92 +41,99 @@
                 .borrow_mut()
                 .insert(shard.clone())
             {
-                actix_rt::spawn(maintain_once(agent.clone(), shard));
+                actix_rt::spawn(run_maintenance(agent.clone(), shard));
             }
         }
     }
 }
 
+/// Returns the shards of this hall and those of which this agent is a member.
 fn shards_of_interest(agent: &Agent) -> BTreeSet<ShardId> {
     let hall = &agent.settings.identity.hall;
     let home = (0..SHARDS_PER_HALL).map(|index| ShardId {
         hall: hall.clone(),
         index,
     });
-    let shared = agent.shared.borrow();
-    let held = shared
+    let state = agent.state.borrow();
+    let held = state
         .views()
-        .filter(|view| view.includes(&agent.me))
+        .filter(|view| view.includes(&agent.member))
         .map(|view| view.shard.clone());
     home.chain(held).collect()
 }
 
-async fn maintain_once(agent: Rc<Agent>, shard: ShardId) {
+async fn run_maintenance(agent: Rc<Agent>, shard: ShardId) {
     if let Err(err) = maintain(&agent, &shard).await {
-        log::debug!(shard = shard.to_string(); "the shard stays as it is: {err}");
+        log::debug!(shard = shard.to_string(); "the shard could not be maintained: {err}");
     }
     agent.shards_in_maintenance.borrow_mut().remove(&shard);
 }
 
 async fn maintain(agent: &Rc<Agent>, shard: &ShardId) -> StoreResult<()> {
     let now = Now::read();
-    let view = agent.shared.borrow().view(shard).cloned();
+    let view = agent.state.borrow().view(shard).cloned();
     let Some(view) = view else {
-        return make_first_view(agent, shard, now).await;
+        return create_initial_view(agent, shard, now).await;
     };
-    if view.owner == agent.me {
+    if view.owner == agent.member {
         return maintain_as_owner(agent, &view, now).await;
     }
-    if view.witness.as_ref() == Some(&agent.me) {
+    if view.witness.as_ref() == Some(&agent.member) {
         return maintain_as_witness(agent, &view, now).await;
     }
     if shard.hall == agent.settings.identity.hall && is_lost(agent, &view) {
-        return take_lost_shard(agent, &view, now).await;
+        return recover_lost_shard(agent, &view, now).await;
     }
     Ok(())
 }
 
-/// Tells whether this agent is the one to act for a shard of its hall that nobody holds.
-fn is_first_for(agent: &Agent, shard: &ShardId, now: Now) -> bool {
-    let shared = agent.shared.borrow();
-    let Some(list) = shared.list() else {
+/// Returns whether this agent has to act for a shard of its hall that has no live members.
+fn is_responsible_for(agent: &Agent, shard: &ShardId, now: Now) -> bool {
+    let state = agent.state.borrow();
+    let Some(list) = state.list() else {
         return false;
     };
     let duty = shard.to_string();
     let silent = |name: &str| agent.peers.is_box_silent(name, now);
-    list.holds(&agent.me.box_name)
+    list.holds(&agent.member.box_name)
         && !agent.stopping.get()
-        && is_first(list, &duty, &shard.hall, &agent.me.box_name, silent)
+        && is_first(list, &duty, &shard.hall, &agent.member.box_name, silent)
 }
 
-/// Chooses a witness, and names the list that holds it together with this agent.
-fn members_with_me(agent: &Agent, shard: &ShardId, avoided: &[&str], now: Now) -> Option<Members> {
-    let shared = agent.shared.borrow();
-    let list = shared.list()?;
-    if !list.holds(&agent.me.box_name) {
+/// Returns members for a new view with this agent as the owner, or none if this agent is not in the
+/// live list. The witness is chosen outside of the excluded boxes.
+fn choose_members(
+    agent: &Agent,
+    shard: &ShardId,
+    excluded_boxes: &[&str],
+    now: Now,
+) -> Option<Members> {
+    let state = agent.state.borrow();
+    let list = state.list()?;
+    if !list.holds(&agent.member.box_name) {
         return None;
     }
-    let mut excluded = avoided.to_vec();
-    excluded.push(&agent.me.box_name);
-    let heard = |name: &str| agent.peers.heard_lately(name, now);
-    let witness = choose_witness(list, shard, &excluded, heard);
+    let mut excluded = excluded_boxes.to_vec();
+    excluded.push(&agent.member.box_name);
+    let live_member = |name: &str| agent.peers.live_member(name, now);
+    let witness = choose_witness(list, shard, &excluded, live_member);
     Some(Members {
-        owner: agent.me.clone(),
+        owner: agent.member.clone(),
         witness,
         list_revision: list.revision,
     })
 }
 
-async fn make_first_view(agent: &Rc<Agent>, shard: &ShardId, now: Now) -> StoreResult<()> {
+async fn create_initial_view(agent: &Rc<Agent>, shard: &ShardId, now: Now) -> StoreResult<()> {
     let key = view_key(&agent.settings.identity.partner, shard);
-    if !is_first_for(agent, shard, now) {
+    if !is_responsible_for(agent, shard, now) {
         return Ok(());
     }
     if let Some(found) = agent.store.get(&key).await? {
-        take_found(agent, [&found]);
+        merge_stored_views(agent, [&found]);
         return Ok(());
     }
-    let Some(members) = members_with_me(agent, shard, &[], now) else {
+    let Some(members) = choose_members(agent, shard, &[], now) else {
         return Ok(());
     };
     if members.witness.is_none() {
@@ -131,8 +141,8 @@
     }
     let view = View::initial(shard.clone(), members, now.wall);
     match create_settled(agent.store.as_ref(), &key, &to_json(&view)).await? {
-        WriteOutcome::Written => take_views(agent, &[view]),
-        WriteOutcome::Conflict(found) => take_found(agent, found.as_ref()),
+        WriteOutcome::Written => merge_views(agent, &[view]),
+        WriteOutcome::Conflict(found) => merge_stored_views(agent, found.as_ref()),
     }
     Ok(())
 }
@@ -141,10 +151,10 @@
     serde_json::to_vec(view).expect("a view has only plain fields")
 }
 
-fn take_found<'a>(agent: &Rc<Agent>, found: impl IntoIterator<Item = &'a Versioned>) {
+fn merge_stored_views<'a>(agent: &Rc<Agent>, found: impl IntoIterator<Item = &'a Versioned>) {
     let parse = |found: &Versioned| serde_json::from_slice::<View>(&found.value).ok();
     let views: Vec<View> = found.into_iter().filter_map(parse).collect();
-    take_views(agent, &views);
+    merge_views(agent, &views);
 }
 
 async fn maintain_as_owner(agent: &Rc<Agent>, view: &View, now: Now) -> StoreResult<()> {
@@ -153,11 +163,12 @@
     match &view.witness {
         Some(witness) if usable(witness) => {
             if with_replica(agent, &view.shard, |replica| replica.needs_sync()) == Some(true) {
-                bring_up_to_date(agent, view).await;
+                sync_witness(agent, view).await;
                 return Ok(());
             }
-            let moves_home = !stands_at_home(agent, witness, &view.shard);
-            if moves_home {
+            // A witness in another hall is replaced once an agent of the home hall is available.
+            let is_away_from_home = !is_in_home_hall(agent, witness, &view.shard);
+            if is_away_from_home {
                 replace_witness(agent, view, now).await
             } else {
                 Ok(())
@@ -167,9 +178,9 @@
     }
 }
 
-fn stands_at_home(agent: &Agent, member: &Member, shard: &ShardId) -> bool {
-    let shared = agent.shared.borrow();
-    let listed = shared.list().and_then(|list| {
+fn is_in_home_hall(agent: &Agent, member: &Member, shard: &ShardId) -> bool {
+    let state = agent.state.borrow();
+    let listed = state.list().and_then(|list| {
         list.boxes
             .iter()
             .find(|listed| listed.name == member.box_name)
@@ -178,17 +189,17 @@
 }
 
 async fn replace_witness(agent: &Rc<Agent>, view: &View, now: Now) -> StoreResult<()> {
-    let present = view.witness.as_ref();
-    let silent = present.is_some_and(|witness| agent.peers.is_silent(witness, now));
-    let avoided: Vec<&str> = present
+    let current = view.witness.as_ref();
+    let silent = current.is_some_and(|witness| agent.peers.is_silent(witness, now));
+    let excluded_boxes: Vec<&str> = current
         .filter(|_| silent)
         .map(|witness| witness.box_name.as_str())
         .into_iter()
         .collect();
-    let Some(members) = members_with_me(agent, &view.shard, &avoided, now) else {
+    let Some(members) = choose_members(agent, &view.shard, &excluded_boxes, now) else {
         return Ok(());
     };
-    if members.witness.is_none() || members.witness.as_ref() == present || agent.stopping.get() {
+    if members.witness.is_none() || members.witness.as_ref() == current || agent.stopping.get() {
         return Ok(());
     }
     let Some(revision) = read_revision(agent, view).await? else {
@@ -198,14 +209,14 @@
     write_view(agent, &next, revision).await
 }
 
-/// Reads the revision of a shard's record, if the record still holds this view.
+/// Returns the store revision of a shard's view, if the store still has the given view.
 async fn read_revision(agent: &Rc<Agent>, view: &View) -> StoreResult<Option<u64>> {
     let key = view_key(&agent.settings.identity.partner, &view.shard);
     let Some(found) = agent.store.get(&key).await? else {
         return Ok(None);
     };
-    take_found(agent, [&found]);
-    let same = agent.shared.borrow().view(&view.shard) == Some(view);
+    merge_stored_views(agent, [&found]);
+    let same = agent.state.borrow().view(&view.shard) == Some(view);
     Ok(same.then_some(found.revision))
 }
 
@@ -217,17 +228,19 @@
         .write_if(&key, condition, &to_json(next))
         .await?
     {
-        WriteOutcome::Written => take_views(agent, std::slice::from_ref(next)),
-        WriteOutcome::Conflict(found) => take_found(agent, found.as_ref()),
+        WriteOutcome::Written => merge_views(agent, std::slice::from_ref(next)),
+        WriteOutcome::Conflict(found) => merge_stored_views(agent, found.as_ref()),
     }
     Ok(())
 }
 
-/// Sends the whole table to a new witness.
-async fn bring_up_to_date(agent: &Rc<Agent>, view: &View) {
+/// Sends the complete table to a new witness.
+async fn sync_witness(agent: &Rc<Agent>, view: &View) {
     let parts = with_replica(agent, &view.shard, Replica::sync_parts).unwrap_or_default();
     for part in parts {
-        if let Err(reason) = ask_witness(agent, part, Some(view.clone()), SYNC_DEADLINE).await {
+        if let Err(reason) =
+            replicate_to_witness(agent, part, Some(view.clone()), SYNC_DEADLINE).await
+        {
             log::debug!(shard = view.shard.to_string(); "{reason}");
             return;
         }
@@ -238,112 +251,113 @@
 }
 
 async fn maintain_as_witness(agent: &Rc<Agent>, view: &View, now: Now) -> StoreResult<()> {
-    let (able, begun) = with_replica(agent, &view.shard, |replica| {
+    let (can_take_over, is_taking_over) = with_replica(agent, &view.shard, |replica| {
         (replica.can_take_over(), replica.is_taking_over())
     })
     .unwrap_or_default();
     let owner_gone = is_gone(agent, &view.owner, view) || agent.peers.is_silent(&view.owner, now);
-    if able && (owner_gone || begun) && !agent.stopping.get() {
+    if can_take_over && (owner_gone || is_taking_over) && !agent.stopping.get() {
         return take_over(agent, view, now).await;
     }
-    if !able && is_lost(agent, view) {
-        return take_lost_shard(agent, view, now).await;
+    if !can_take_over && is_lost(agent, view) {
+        return recover_lost_shard(agent, view, now).await;
     }
     Ok(())
 }
 
 /// Takes a shard over from its owner.
 ///
-/// From `begin_takeover` on, nothing of the old epoch is acknowledged, whatever
-/// comes of the write; only the proof that the write never left lifts that.
+/// From `begin_takeover` on, no message of the old epoch is acknowledged, whatever the outcome of
+/// the write. Only if the write provably never left this agent is the takeover cancelled.
 async fn take_over(agent: &Rc<Agent>, view: &View, now: Now) -> StoreResult<()> {
     let Some(revision) = read_revision(agent, view).await? else {
         return Ok(());
     };
-    let avoided = [view.owner.box_name.as_str()];
-    let avoided: &[&str] = if agent.peers.has_later_life(&view.owner) {
+    let excluded_boxes = [view.owner.box_name.as_str()];
+    let excluded_boxes: &[&str] = if agent.peers.has_later_incarnation(&view.owner) {
         &[]
     } else {
-        &avoided
+        &excluded_boxes
     };
-    let Some(members) = members_with_me(agent, &view.shard, avoided, now) else {
+    let Some(members) = choose_members(agent, &view.shard, excluded_boxes, now) else {
         return Ok(());
     };
-    let begun = with_replica(agent, &view.shard, |replica| {
-        let fresh = !replica.is_taking_over();
+    let takeover = with_replica(agent, &view.shard, |replica| {
+        let is_new = !replica.is_taking_over();
         replica
             .begin_takeover(members, now.wall)
-            .map(|next| (next, fresh))
+            .map(|next| (next, is_new))
     });
-    let Some((next, fresh)) = begun.flatten() else {
+    let Some((next, is_new)) = takeover.flatten() else {
         return Ok(());
     };
     log::info!(shard = view.shard.to_string(); "taking over from {}", view.owner);
     let outcome = write_view(agent, &next, revision).await;
-    if fresh && outcome.as_ref().is_err_and(proves_unwritten) {
+    if is_new && outcome.as_ref().is_err_and(proves_not_written) {
         with_replica(agent, &view.shard, Replica::cancel_takeover);
     }
     outcome
 }
 
-/// Takes a shard over whose owner is about to stop.
+/// Takes a shard over at the request of its owner, which is about to stop.
 pub fn take_over_yielded(agent: &Rc<Agent>, shard: ShardId) -> ControlResponse {
-    let view = agent.shared.borrow().view(&shard).cloned();
-    let Some(view) = view.filter(|view| view.witness.as_ref() == Some(&agent.me)) else {
+    let view = agent.state.borrow().view(&shard).cloned();
+    let Some(view) = view.filter(|view| view.witness.as_ref() == Some(&agent.member)) else {
         return ControlResponse::Failed("this agent is not the shard's witness".to_owned());
     };
     let agent = agent.clone();
     actix_rt::spawn(async move {
         if let Err(err) = take_over(&agent, &view, Now::read()).await {
-            log::debug!(shard = shard.to_string(); "the yielded shard is not taken yet: {err}");
+            log::debug!(shard = shard.to_string(); "the takeover of the yielded shard failed: {err}");
         }
     });
     ControlResponse::Done
 }
 
-/// Tells whether a member is proved to be gone for good.
+/// Returns whether a member is provably gone for good.
 fn is_gone(agent: &Agent, member: &Member, view: &View) -> bool {
-    let own_past =
-        member.box_name == agent.me.box_name && member.incarnation < agent.me.incarnation;
-    if own_past || agent.peers.has_later_life(member) {
+    let is_earlier_incarnation =
+        member.box_name == agent.member.box_name && member.incarnation < agent.member.incarnation;
+    if is_earlier_incarnation || agent.peers.has_later_incarnation(member) {
         return true;
     }
-    let shared = agent.shared.borrow();
-    shared
+    let state = agent.state.borrow();
+    state
         .list()
         .is_some_and(|list| list.revision >= view.list_revision && !list.holds(&member.box_name))
 }
 
-/// Tells whether all who held a shard's table are proved to be gone.
+/// Returns whether all members that held a shard's complete table are provably gone.
 fn is_lost(agent: &Agent, view: &View) -> bool {
     is_gone(agent, &view.owner, view)
         && view.witness.as_ref().is_none_or(|witness| {
-            // A witness that never got the whole table cannot take over either.
-            *witness == agent.me || is_gone(agent, witness, view)
+            // The caller checks that this agent, if it is the witness, cannot take over because it
+            // never received the complete table.
+            *witness == agent.member || is_gone(agent, witness, view)
         })
 }
 
-/// Takes a shard whose table is lost; keys that it does not know are answered "unknown"
-/// until the horizon has passed.
-async fn take_lost_shard(agent: &Rc<Agent>, view: &View, now: Now) -> StoreResult<()> {
-    let i_witness = view.witness.as_ref() == Some(&agent.me);
-    if !i_witness && !is_first_for(agent, &view.shard, now) {
+/// Becomes the owner of a shard whose table is lost. Until the retention time of claims has passed,
+/// the reply for keys that may have been claimed before the loss is `Unknown`.
+async fn recover_lost_shard(agent: &Rc<Agent>, view: &View, now: Now) -> StoreResult<()> {
+    let is_witness = view.witness.as_ref() == Some(&agent.member);
+    if !is_witness && !is_responsible_for(agent, &view.shard, now) {
         return Ok(());
     }
     let Some(revision) = read_revision(agent, view).await? else {
         return Ok(());
     };
-    let Some(members) = members_with_me(agent, &view.shard, &[], now) else {
+    let Some(members) = choose_members(agent, &view.shard, &[], now) else {
         return Ok(());
     };
-    log::warn!(shard = view.shard.to_string(); "the shard's claims are lost, unknown keys are refused for a while");
+    log::warn!(shard = view.shard.to_string(); "the shard's claims are lost; unknown keys are refused until the retention time has passed");
     let next = view.successor_after_loss(members, now.wall);
     write_view(agent, &next, revision).await
 }
 
-/// Hands the owned shards to their witnesses before a planned stop.
-pub async fn hand_over(agent: &Rc<Agent>) {
-    let deadline = Instant::now() + HAND_OVER_LIMIT;
+/// Hands over the owned shards to their witnesses before a planned stop.
+pub async fn hand_over_shards(agent: &Rc<Agent>) {
+    let deadline = Instant::now() + HANDOVER_LIMIT;
     loop {
         let owned: Vec<View> = {
             let replicas = agent.replicas.borrow();
@@ -360,9 +374,10 @@
     }
 }
 
+/// Asks the witness of a shard to take it over.
 async fn yield_shard(agent: &Rc<Agent>, view: &View) {
     let witness = view.witness.as_ref();
-    let address = witness.and_then(|witness| address_of(agent, &witness.box_name));
+    let address = witness.and_then(|witness| agent_address(agent, &witness.box_name));
     if let Some(address) = address {
         let request = ControlRequest::Yield(view.shard.clone());
         if let Err(err) = agent
@@ -371,12 +386,12 @@
             .call(&request, WITNESS_DEADLINE)
             .await
         {
-            log::debug!(shard = view.shard.to_string(); "the witness cannot be asked: {err}");
+            log::debug!(shard = view.shard.to_string(); "the call to the witness failed: {err}");
         }
     }
 }
 
-/// Tells whether an error proves that a write was not made.
-fn proves_unwritten(err: &StoreError) -> bool {
+/// Returns whether an error proves that the write never reached the store.
+fn proves_not_written(err: &StoreError) -> bool {
     matches!(err, StoreError::Unreachable(_))
 }
--- a/src/claim/replica.rs
+++ b/src/claim/replica.rs
@@ -242,7 +242,7 @@
         let skew = u64::try_from(MAX_CLOCK_SKEW.as_millis()).unwrap_or(u64::MAX);
         let lost_at = unknown_until.0.saturating_sub(horizon);
         key.generated_at()
-            .is_none_or(|minted| minted.0 <= lost_at.saturating_add(skew))
+            .is_none_or(|generated| generated.0 <= lost_at.saturating_add(skew))
     }
 
     /// Handles the witness's acknowledgement of a claim and returns the reply to the attempt.
