--- a/src/gateway/attempt/exchange.rs
+++ b/src/gateway/attempt/exchange.rs
@@ -9,7 +9,7 @@
 use super::upstream::{PendingPrefill, Upstream};
 use crate::clock::Now;
 use crate::routing::placement::LoadGuard;
-use crate::routing::signs::{SignHeaders, Signs};
+use crate::routing::signals::{ResponseSignals, SignalHeaders};
 use bytes::Bytes;
 use http::header::RETRY_AFTER;
 use http_body_util::{BodyExt as _, Full};
@@ -278,11 +278,11 @@
     if status == STATUS_MISDIRECTED_REQUEST {
         return TryOutcome::NotRun(NotRunReason::OtherInstance);
     }
-    let signs = SignHeaders {
+    let signs = SignalHeaders {
         leaving: header_text(&headers.leaving),
         retry_after: header_text(&RETRY_AFTER),
     };
-    upstream.update_from_head(Signs::read(status, signs, now.wall), now);
+    upstream.update_from_head(ResponseSignals::read(status, signs, now.wall), now);
     if header_text(&headers.not_executed).is_some() {
         return TryOutcome::NotRun(NotRunReason::Refused(status));
     }
