--- a/src/agent/gossip_state.rs
+++ b/src/agent/gossip_state.rs
@@ -153,7 +153,7 @@
     /// Returns the time since the last known response of the store.
     pub fn store_age(&self, now: Now) -> Option<Duration> {
         self.last_store_contact
-            .map(|heard| now.monotonic.saturating_sub(heard))
+            .map(|contact| now.monotonic.saturating_sub(contact))
     }
 
     /// Summarises the state for one peer. `evidence_after` is the position up to which the peer has
--- a/src/agent/telemetry.rs
+++ b/src/agent/telemetry.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-const PERIOD: Duration = Duration::from_secs(1);
+const RECORDING_PERIOD: Duration = Duration::from_secs(1);
 
 struct Gauges {
     generation: Gauge<u64>,
@@ -24,7 +24,7 @@
     suspensions: Gauge<u64>,
 }
 
-/// Serves the agent's metrics and keeps them up to date.
+/// Serves the agent's metrics and updates them periodically.
 pub fn serve(agent: Rc<Agent>) -> Result<ServerHandle> {
     let metrics = Metrics::new()?;
     let meter = metrics.meter();
@@ -38,7 +38,7 @@
         ),
         store_age: gauge(
             "gatepier_store_age_ms",
-            "Milliseconds since the store was heard from.",
+            "Milliseconds since the last known response of the store.",
         ),
         store_calls: gauge(
             "gatepier_store_calls",
@@ -46,22 +46,31 @@
         ),
         bytes_sent: gauge(
             "gatepier_control_bytes_sent",
-            "Bytes sent to present peers so far.",
+            "Bytes sent so far to the current peers.",
+        ),
+        peers: gauge(
+            "gatepier_peers_heard",
+            "Agents that were in contact recently.",
         ),
-        peers: gauge("gatepier_peers_heard", "Agents heard lately."),
         shards: gauge(
             "gatepier_shards",
-            "Shards of claims owned, and those that grant.",
+            "Shards that this agent owns, and those of them that can grant claims.",
+        ),
+        bills: gauge(
+            "gatepier_bills_waiting",
+            "Bills that have not been written to the ledger.",
+        ),
+        suspensions: gauge(
+            "gatepier_suspensions",
+            "Versions that the exposure guard suspended.",
         ),
-        bills: gauge("gatepier_bills_waiting", "Bills that wait for the ledger."),
-        suspensions: gauge("gatepier_suspensions", "Versions that the guard suspended."),
     };
     let handle = metrics.serve(agent.settings.metrics)?;
     metrics.set_ready(true);
     actix_rt::spawn(async move {
         loop {
             record(&agent, &gauges);
-            sleep(PERIOD).await;
+            sleep(RECORDING_PERIOD).await;
         }
     });
     Ok(handle)
