--- a/src/router.rs
+++ b/src/router.rs
@@ -1,30 +1,30 @@
 //! The router: the data path of one entry box.
 //!
-//! It keeps nothing that matters and may be killed at any time. What it needs to
-//! know comes from the agent of its box and stays in force while the agent is away.
+//! It holds no state that must survive a restart, so it may be killed at any time. Its configuration
+//! comes from the agent of its box and stays in force while the agent is unreachable.
 
-mod agents;
-mod answer;
+mod agent_client;
+mod agent_link;
 mod billing;
 mod body;
-mod claimed;
+mod cascade_step;
+mod claimed_request;
+mod completions;
+mod connection_stats;
 pub mod context;
 pub mod crash_guard;
 mod dispatch;
-pub mod entry;
-mod finishes;
 mod headers;
-mod link;
-mod model;
-mod model_relay;
-mod model_try;
-mod plain;
+mod plain_service;
 mod rating;
-mod served;
+mod recent_finishes;
+pub mod request_handler;
+mod responses;
 mod sse;
+mod stream_relay;
 mod telemetry;
-mod threads;
 mod trace;
+mod worker_threads;
 
 use crate::clock::Now;
 use crate::error::Result;
@@ -36,49 +36,49 @@
 use crate::wire::tls::FleetTls;
 use arc_swap::ArcSwap;
 pub use body::read_whole;
+use connection_stats::describe_counts;
 use context::RouterShared;
-use served::describe;
 use std::sync::Arc;
 use std::time::Duration;
 use telemetry::RouterMetrics;
-use threads::Threads;
 use tokio::sync::mpsc;
 use tokio::time::sleep;
+use worker_threads::WorkerThreads;
 
-const RECORD_QUEUE: usize = 4096;
-/// How long a stopping router still accepts, so that the balancer can see that it is
-/// not ready and send new callers elsewhere.
-const READINESS_LEAD: Duration = Duration::from_secs(2);
+const RECORD_QUEUE_CAPACITY: usize = 4096;
+/// How long a stopping router keeps accepting connections, so that the load balancer can see that
+/// it is not ready and send new callers elsewhere.
+const READINESS_DRAIN_DELAY: Duration = Duration::from_secs(2);
 
 /// Runs a router until it is asked to stop, and then until it has drained.
 pub async fn run(settings: RouterSettings, stop: impl Future<Output = ()>) -> Result<()> {
     let metrics = Metrics::new()?;
-    let (records, record_queue) = mpsc::channel(RECORD_QUEUE);
+    let (record_sender, record_queue) = mpsc::channel(RECORD_QUEUE_CAPACITY);
     let shared = Arc::new(RouterShared {
         tls: FleetTls::load(&settings.tls)?,
         snapshot: ArcSwap::from_pointee(Snapshot::default()),
-        budget: Default::default(),
+        retry_budget: Default::default(),
         admission: Default::default(),
         metrics: RouterMetrics::new(&metrics),
-        records,
+        record_sender,
         reporter: format!("{}#{}", settings.identity.name, Now::read().wall.0),
         evidence: Default::default(),
         recent_finishes: Default::default(),
-        suspects: Default::default(),
-        untaken_finishes: Default::default(),
+        crash_suspects: Default::default(),
+        undelivered_finishes: Default::default(),
         started: Now::read().monotonic,
         settings,
     });
     let metrics_server = metrics.serve(shared.settings.metrics)?;
-    actix_rt::spawn(link::follow_agents(shared.clone(), metrics.clone()));
-    let reports = actix_rt::spawn(link::report_to_agent(shared.clone(), record_queue));
+    actix_rt::spawn(agent_link::follow_agents(shared.clone(), metrics.clone()));
+    let reports = actix_rt::spawn(agent_link::report_to_agent(shared.clone(), record_queue));
     let socket = CallersSocket::open(shared.settings.listen).await?;
     let (listener, handover) = socket.offer()?;
     let connections = Connections::default();
-    let mut threads = Threads::start(&shared, &connections)?;
-    let counts = threads.counts();
-    let server = HttpServer::start(listener, connections.clone(), move |taken| {
-        threads.hand(taken);
+    let mut threads = WorkerThreads::start(&shared, &connections)?;
+    let thread_counts = threads.counts();
+    let server = HttpServer::start(listener, connections.clone(), move |accepted| {
+        threads.assign(accepted);
     })?;
     log::info!(
         box_name = shared.settings.identity.name.as_str(),
@@ -88,39 +88,39 @@
     stop.await;
     log::info!(
         connections = connections.count(),
-        under_way = describe(&counts).as_str();
-        "stopping: requests under way are finished"
+        under_way = describe_counts(&thread_counts).as_str();
+        "stopping: finishing requests in progress"
     );
-    // The metrics' address is left at once, so that probes are answered by a new router
-    // if there is one, and by nobody otherwise.
+    // The metrics address is released at once, so that readiness probes are answered by a new
+    // router if there is one, and by none otherwise.
     metrics_server.stop(false).await;
     let server = server.announce();
-    sleep(READINESS_LEAD).await;
+    sleep(READINESS_DRAIN_DELAY).await;
     let leaving = handover.stop().await;
     let server = server.leave(leaving).await;
     log::info!(
         connections = connections.count(),
         leaving:?,
-        under_way = describe(&counts).as_str();
-        "no connection is taken any more"
+        under_way = describe_counts(&thread_counts).as_str();
+        "no more connections are accepted"
     );
     drain(server, &shared).await;
     reports.abort();
-    log::info!(under_way = describe(&counts).as_str(); "stopped");
+    log::info!(under_way = describe_counts(&thread_counts).as_str(); "stopped");
     Ok(())
 }
 
-/// Finishes what the router has: its connections, and bills that no agent has taken yet.
+/// Waits until connections have ended and agents have accepted all outstanding finish records.
 async fn drain(server: HttpServer<Draining>, shared: &RouterShared) {
-    let began = Now::read().monotonic;
+    let started = Now::read().monotonic;
     let cut = server.finish(shared.settings.drain).await;
     if cut > 0 {
-        log::warn!(cut; "the time to finish is over, connections are cut");
+        log::warn!(cut; "the drain time is over; closing the remaining connections");
     }
-    let spent = Now::read().monotonic.saturating_sub(began);
-    let left = shared.settings.drain.saturating_sub(spent);
-    let lost = wait_until_ended(&shared.untaken_finishes, left).await;
+    let elapsed = Now::read().monotonic.saturating_sub(started);
+    let remaining = shared.settings.drain.saturating_sub(elapsed);
+    let lost = wait_until_ended(&shared.undelivered_finishes, remaining).await;
     if lost > 0 {
-        log::error!(lost; "no agent took the ends of these requests, their bills are lost");
+        log::error!(lost; "no agent accepted the finish records of these requests; their billing records are lost");
     }
 }
--- a/src/router/billing.rs
+++ b/src/router/billing.rs
@@ -1,4 +1,4 @@
-//! What a request costs, and its bill.
+//! The price of a request, and its billing record.
 
 use super::context::{Caller, Worker};
 use super::trace::Trace;
@@ -9,26 +9,28 @@
 use std::rc::Rc;
 
 /// The number of tokens that a version's price is for.
-const TOKENS_PER_PRICE: u64 = 1000;
+const TOKENS_PER_PRICE_UNIT: u64 = 1000;
 
-/// What the steps of one request cost so far.
+/// The total price of the steps of one request so far.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Cost {
     tokens: u64,
-    micros: u64,
+    cost_micros: u64,
 }
 
 impl Cost {
-    /// Adds a step's tokens at its version's price.
-    pub fn add(&mut self, bundle: &Bundle, version: &VersionName, tokens: u64) {
-        let price = bundle.version(version).map_or(0, |found| found.cost_micros);
+    /// Adds the tokens of a step at the price of its version.
+    pub fn add_tokens(&mut self, bundle: &Bundle, version: &VersionName, tokens: u64) {
+        let price = bundle
+            .version(version)
+            .map_or(0, |version| version.cost_micros);
         self.tokens += tokens;
-        self.micros += (tokens * price).div_ceil(TOKENS_PER_PRICE);
+        self.cost_micros += (tokens * price).div_ceil(TOKENS_PER_PRICE_UNIT);
     }
 }
 
-/// Makes out the bill, before the end of the answer goes out.
-pub async fn bill(
+/// Records the billing record, before the end of the response is sent.
+pub async fn record_bill(
     worker: &Rc<Worker>,
     caller: &Caller,
     version: &VersionName,
@@ -36,20 +38,20 @@
     trace: &mut Trace,
 ) {
     let bill = Bill {
-        key: caller.key(),
+        key: caller.claim_key(),
         ran_on: version.to_string(),
         tokens: cost.tokens,
-        cost_micros: cost.micros,
+        cost_micros: cost.cost_micros,
         at: Now::read().wall,
     };
     trace.record.tokens = cost.tokens;
-    trace.record.cost_micros = cost.micros;
+    trace.record.cost_micros = cost.cost_micros;
     trace.record.billed = true;
     let finish = Finish {
         answer: None,
         bill: Some(bill),
     };
     worker
-        .finish(caller.key(), AttemptId::random(), finish)
+        .record_finish(caller.claim_key(), AttemptId::random(), finish)
         .await;
 }
--- a/src/router/body.rs
+++ b/src/router/body.rs
@@ -1,4 +1,4 @@
-//! Reads bodies with limits, and makes bodies that another task fills.
+//! Reads bodies with limits, and creates bodies that another task fills.
 
 use actix_http::body::{BodyStream, BoxBody, MessageBody as _};
 use actix_http::error::PayloadError;
@@ -10,60 +10,66 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// The greatest whole answer that is held in memory.
-pub const ANSWER_BYTES_LIMIT: usize = 8 * 1024 * 1024;
+/// The largest complete response that is held in memory.
+pub const RESPONSE_MAX_BYTES: usize = 8 * 1024 * 1024;
 
-/// A response of an upstream, with its body still to be read.
+/// An upstream's response whose body has not been read yet.
 pub type UpstreamResponse = ClientResponse;
 
-/// Why a body could not be read whole.
+/// Why a body could not be read completely.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyError {
     /// The body is larger than the limit.
     TooLarge,
-    /// The sender broke off, or sent what cannot be read.
-    Broken,
-    /// The time was up.
-    TooSlow,
+    /// The sender interrupted the body, or sent invalid framing.
+    Interrupted,
+    /// The body was not received within the time limit.
+    TimedOut,
 }
 
 impl fmt::Display for BodyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::TooLarge => "the body is larger than the limit",
-            Self::Broken => "the body broke off",
-            Self::TooSlow => "the body did not come in time",
+            Self::Interrupted => "the body was interrupted",
+            Self::TimedOut => "the body was not received in time",
         })
     }
 }
 
 impl std::error::Error for BodyError {}
 
-/// Reads a whole body within a limit and a time.
-pub async fn read_whole<S>(body: &mut S, limit: usize, left: Duration) -> Result<Bytes, BodyError>
+/// Reads a complete body within a size limit and a time limit.
+pub async fn read_whole<S>(
+    body: &mut S,
+    max_bytes: usize,
+    time_limit: Duration,
+) -> Result<Bytes, BodyError>
 where
     S: Stream<Item = Result<Bytes, PayloadError>> + Unpin,
 {
     let read = async {
         let mut buf = BytesMut::new();
         while let Some(chunk) = body.next().await {
-            let chunk = chunk.map_err(|_| BodyError::Broken)?;
-            if buf.len() + chunk.len() > limit {
+            let chunk = chunk.map_err(|_| BodyError::Interrupted)?;
+            if buf.len() + chunk.len() > max_bytes {
                 return Err(BodyError::TooLarge);
             }
             buf.extend_from_slice(&chunk);
         }
         Ok(buf.freeze())
     };
-    timeout(left, read).await.unwrap_or(Err(BodyError::TooSlow))
+    timeout(time_limit, read)
+        .await
+        .unwrap_or(Err(BodyError::TimedOut))
 }
 
-/// The end of a relayed body that a task fills. Sending waits until the caller has
-/// taken the chunk before, so a slow caller slows the upstream down.
+/// The sending side of a body that a task fills. Sending waits until the caller has read the
+/// previous chunk, so a slow caller slows the upstream down.
 pub type BodySender = mpsc::Sender<Result<Bytes, BodyError>>;
 
-/// Makes a body that a task fills.
-pub fn relayed_body() -> (BodySender, BoxBody) {
+/// Creates a body that a task fills.
+pub fn channel_body() -> (BodySender, BoxBody) {
     let (tx, mut rx) = mpsc::channel(1);
     let chunks = stream::poll_fn(move |cx| rx.poll_recv(cx));
     (tx, BodyStream::new(chunks).boxed())
--- a/src/router/served.rs
+++ b/src/router/connection_stats.rs
@@ -1,8 +1,8 @@
-//! What becomes of the connections that a thread serves.
+//! Counts how the connections of each thread end.
 //!
 //! A thread that ends before its connections drops them. The end of each connection is therefore
-//! logged, and one that is dropped is counted apart, so that the log of a stop shows whether it
-//! cut anything.
+//! logged, and dropped connections are counted separately, so that the log of a stop shows whether
+//! any were cut.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -10,20 +10,20 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio_util::task::task_tracker::TaskTrackerToken;
 
-/// How a connection came to its end.
+/// How a connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// The last answer asked the caller to leave.
-    AskedToLeave,
-    /// The last answer said that nothing more was read.
-    ToldUnread,
-    /// The caller left, or nothing was under way for long.
-    Rested,
-    /// By HTTP/2, which has ends of its own.
+    /// The last response announced the close of the connection.
+    CloseAnnounced,
+    /// The router reported that it read no further request.
+    UnreadReported,
+    /// The caller closed the connection, or it was idle for too long.
+    Idle,
+    /// An HTTP/2 connection, which has its own ways to end.
     Http2,
 }
 
-/// What became of the connections of one thread.
+/// The number of open, ended and dropped connections of one thread.
 #[derive(Debug)]
 pub struct ThreadCounts {
     thread: usize,
@@ -33,7 +33,7 @@
 }
 
 impl ThreadCounts {
-    /// Makes the counts of a thread that has served nothing yet.
+    /// Creates the counts of a thread that has not served a connection yet.
     pub fn new(thread: usize) -> Self {
         Self {
             thread,
@@ -56,40 +56,40 @@
     }
 }
 
-/// Writes the counts of all threads for a line of the log.
-pub fn describe(counts: &[Arc<ThreadCounts>]) -> String {
+/// Formats the counts of all threads for a log line.
+pub fn describe_counts(counts: &[Arc<ThreadCounts>]) -> String {
     let threads: Vec<String> = counts.iter().map(|counts| counts.to_string()).collect();
     threads.join("; ")
 }
 
-/// A connection from the moment it is given to a thread until it ends.
+/// A connection from its assignment to a thread until its end.
 #[derive(Debug)]
 pub struct ServedConnection {
     counts: Arc<ThreadCounts>,
     peer: SocketAddr,
-    has_ended: bool,
-    _open: TaskTrackerToken,
+    is_ended: bool,
+    _open_token: TaskTrackerToken,
 }
 
 impl ServedConnection {
     /// Counts a connection as open.
-    pub fn new(counts: Arc<ThreadCounts>, peer: SocketAddr, open: TaskTrackerToken) -> Self {
+    pub fn new(counts: Arc<ThreadCounts>, peer: SocketAddr, open_token: TaskTrackerToken) -> Self {
         counts.open.fetch_add(1, Ordering::Relaxed);
         Self {
             counts,
             peer,
-            has_ended: false,
-            _open: open,
+            is_ended: false,
+            _open_token: open_token,
         }
     }
 
     /// Counts the connection as ended.
-    pub fn end(mut self, end: &eyre::Result<ConnectionEnd>) {
-        self.has_ended = true;
+    pub fn record_end(mut self, end: &eyre::Result<ConnectionEnd>) {
+        self.is_ended = true;
         let (thread, peer) = (self.counts.thread, self.peer);
         match end {
-            Ok(end) => log::debug!(thread, peer:%, end:?; "a connection has ended"),
-            Err(err) => log::debug!(thread, peer:%; "a connection has ended: {err}"),
+            Ok(end) => log::debug!(thread, peer:%, end:?; "connection ended"),
+            Err(err) => log::debug!(thread, peer:%; "connection ended with an error: {err}"),
         }
     }
 }
@@ -97,7 +97,7 @@
 impl Drop for ServedConnection {
     fn drop(&mut self) {
         self.counts.open.fetch_sub(1, Ordering::Relaxed);
-        if self.has_ended {
+        if self.is_ended {
             self.counts.ended.fetch_add(1, Ordering::Relaxed);
             return;
         }
--- a/src/router/context.rs
+++ b/src/router/context.rs
@@ -1,8 +1,8 @@
-//! What the router's threads share, and what each thread has of its own.
+//! State that the router's threads share, and the state of each thread.
 
-use super::agents::AgentCalls;
-use super::crash_guard::Suspects;
-use super::finishes::RecentFinishes;
+use super::agent_client::AgentClient;
+use super::crash_guard::CrashSuspects;
+use super::recent_finishes::RecentFinishes;
 use super::telemetry::RouterMetrics;
 use crate::claim::{AttemptId, ClaimKey, ClaimReply, Finish};
 use crate::clock::Now;
@@ -27,63 +27,64 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::task::TaskTracker;
 
-/// How long after its start a router holds requests while it knows of no bundle. Agents tell
-/// it within some milliseconds; where none is there, callers are better refused.
-const FIRST_KNOWLEDGE: Duration = Duration::from_secs(2);
-/// How often it looks whether it knows enough.
-const FIRST_KNOWLEDGE_LOOK: Duration = Duration::from_millis(5);
-/// How long a router waits for its agent's word on a claim.
-const CLAIM_DEADLINE: Duration = Duration::from_millis(700);
-/// How long an answer's end waits for its bill while no agent can be reached.
-const FINISH_PATIENCE: Duration = Duration::from_secs(3);
-/// How long the router goes on trying after that.
-const FINISH_LIMIT: Duration = Duration::from_secs(60);
+/// How long after its start a router holds requests while it has no bundle. Agents send the bundle
+/// within some milliseconds; if there is no agent, refusing the callers is better.
+const INITIAL_BUNDLE_WAIT: Duration = Duration::from_secs(2);
+/// The interval of the checks whether a bundle has been received.
+const INITIAL_BUNDLE_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// How long a router waits for the agent's reply to a claim.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(700);
+/// How long the end of a response is held back for its billing record while no agent can be
+/// reached.
+const FINISH_WAIT_LIMIT: Duration = Duration::from_secs(3);
+/// How long the router keeps retrying after that.
+const FINISH_RETRY_LIMIT: Duration = Duration::from_secs(60);
 
-/// What all threads of a router share.
+/// State that all threads of a router share.
 #[derive(Debug)]
 pub struct RouterShared {
     /// The settings.
     pub settings: RouterSettings,
-    /// The identity towards the agent.
+    /// The TLS identity for calls to agents.
     pub tls: FleetTls,
-    /// What is known at this moment.
+    /// The current configuration and fleet state.
     pub snapshot: ArcSwap<Snapshot>,
-    /// The budget of retries.
-    pub budget: RetryBudget,
+    /// The retry budget.
+    pub retry_budget: RetryBudget,
     /// The admitted requests of each organisation.
     pub admission: Arc<Admission>,
     /// The metrics.
     pub metrics: RouterMetrics,
-    /// Takes decision records on their way to the agent.
-    pub records: mpsc::Sender<DecisionRecord>,
-    /// The name under which this life of the router reports evidence.
+    /// Queues decision records for the agent.
+    pub record_sender: mpsc::Sender<DecisionRecord>,
+    /// Identifies this router process in its evidence reports.
     pub reporter: String,
-    /// The counts of this life of the router.
+    /// The counts of this router process.
     pub evidence: Mutex<HashMap<Subject, Counts>>,
-    /// How the newest requests ended.
+    /// How recent requests ended.
     pub recent_finishes: RecentFinishes,
-    /// Requests that were at crashes of upstreams.
-    pub suspects: Suspects,
-    /// Ends of requests that no agent has taken yet though their answers are out.
-    pub untaken_finishes: TaskTracker,
-    /// The monotonic moment at which the router started.
+    /// Requests that were running at upstreams when these crashed.
+    pub crash_suspects: CrashSuspects,
+    /// Finish records that no agent has accepted yet although the responses were sent.
+    pub undelivered_finishes: TaskTracker,
+    /// The monotonic time at which the router started.
     pub started: Duration,
 }
 
 impl RouterShared {
-    /// Waits until this router knows enough to serve, for a while after its start.
+    /// Waits until this router is ready to serve, for a limited time after its start.
     ///
-    /// A successor shares the callers' address with the router that it replaces, so it gets a
-    /// part of the callers as soon as it listens, whatever its readiness says.
-    pub async fn await_first_knowledge(&self) {
-        let deadline = self.started + FIRST_KNOWLEDGE;
+    /// A successor shares the callers' address with the router that it replaces, so it gets some of
+    /// the callers as soon as it listens, whether it is ready or not.
+    pub async fn wait_until_ready(&self) {
+        let deadline = self.started + INITIAL_BUNDLE_WAIT;
         while !self.snapshot.load().is_ready() && Now::read().monotonic < deadline {
-            sleep(FIRST_KNOWLEDGE_LOOK).await;
+            sleep(INITIAL_BUNDLE_POLL_INTERVAL).await;
         }
     }
 
-    /// Returns what a request sent now to a version for an organisation is counted under.
-    pub fn subject(&self, version: &VersionName, organisation: &str) -> Subject {
+    /// Returns the evidence subject of a request that is sent now to a version for an organisation.
+    pub fn evidence_subject(&self, version: &VersionName, organisation: &str) -> Subject {
         Subject {
             version: version.clone(),
             organisation: organisation.to_owned(),
@@ -91,13 +92,13 @@
         }
     }
 
-    /// Adds to the counts of what a request was sent under.
-    pub fn count(&self, subject: &Subject, add: impl FnOnce(&mut Counts)) {
+    /// Updates the counts of an evidence subject.
+    pub fn update_counts(&self, subject: &Subject, update: impl FnOnce(&mut Counts)) {
         let mut evidence = self.evidence.lock().unwrap_or_else(PoisonError::into_inner);
-        add(evidence.entry(subject.clone()).or_default());
+        update(evidence.entry(subject.clone()).or_default());
     }
 
-    /// Returns this router's counts as its agent takes them.
+    /// Returns this router's counts for a report to the agent.
     pub fn evidence_cells(&self) -> Vec<EvidenceCell> {
         let evidence = self.evidence.lock().unwrap_or_else(PoisonError::into_inner);
         let cell = |(subject, counts): (&Subject, &Counts)| EvidenceCell {
@@ -109,16 +110,16 @@
     }
 }
 
-/// One thread of a router.
+/// The state of one thread of a router.
 pub struct Worker {
-    /// What all threads share.
+    /// State that all threads share.
     pub shared: Arc<RouterShared>,
     /// The client that reuses connections.
-    pub client: Client,
+    pub pooled_client: Client,
     /// The client that opens a connection for each request.
-    pub fresh: Client,
-    /// The agents of the fleet.
-    pub agents: AgentCalls,
+    pub unpooled_client: Client,
+    /// The client for the agents of the fleet.
+    pub agents: AgentClient,
 }
 
 impl std::fmt::Debug for Worker {
@@ -130,46 +131,50 @@
 }
 
 impl Worker {
-    /// Makes a thread's own part.
+    /// Creates the state of one thread.
     pub fn new(shared: Arc<RouterShared>) -> Rc<Self> {
         Rc::new(Self {
-            client: reusing_client(),
-            fresh: fresh_client(),
-            agents: AgentCalls::new(shared.clone()),
+            pooled_client: reusing_client(),
+            unpooled_client: fresh_client(),
+            agents: AgentClient::new(shared.clone()),
             shared,
         })
     }
 
-    /// Returns what is known at this moment.
+    /// Returns the current configuration and fleet state.
     pub fn snapshot(&self) -> Arc<Snapshot> {
         self.shared.snapshot.load_full()
     }
 
-    /// Asks for a claim; an attempt that gets no word is given back in the background.
+    /// Asks for a claim. If no agent replies, the claim is released in the background.
     pub async fn claim(
         self: &Rc<Self>,
         key: &ClaimKey,
         attempt: AttemptId,
-        left: Duration,
+        time_limit: Duration,
     ) -> ClaimReply {
         let request = ControlRequest::Claim {
             key: key.clone(),
             attempt,
             relayed: false,
         };
-        let reply = match self.agents.call(&request, CLAIM_DEADLINE.min(left)).await {
+        let reply = match self
+            .agents
+            .call(&request, CLAIM_TIMEOUT.min(time_limit))
+            .await
+        {
             Ok(ControlResponse::Claim(reply)) => reply,
-            Ok(_) => ClaimReply::NotNow("the agent gave an unfitting answer".to_owned()),
-            Err(err) => ClaimReply::NotNow(format!("the agent gave no word: {err}")),
+            Ok(_) => ClaimReply::NotNow("the agent sent an unexpected response".to_owned()),
+            Err(err) => ClaimReply::NotNow(format!("the agent did not respond: {err}")),
         };
         if matches!(reply, ClaimReply::NotNow(_)) {
-            self.release_later(key.clone(), attempt);
+            self.release_in_background(key.clone(), attempt);
         }
         reply
     }
 
-    /// Gives a claim back whose request was never dispatched.
-    pub fn release_later(self: &Rc<Self>, key: ClaimKey, attempt: AttemptId) {
+    /// Releases the claim of a request that was never dispatched.
+    pub fn release_in_background(self: &Rc<Self>, key: ClaimKey, attempt: AttemptId) {
         let worker = self.clone();
         actix_rt::spawn(async move {
             let request = ControlRequest::Release {
@@ -177,16 +182,18 @@
                 attempt,
                 relayed: false,
             };
-            if let Err(err) = worker.agents.call(&request, CLAIM_DEADLINE).await {
-                log::debug!("a claim is not given back, repeats are told it runs: {err}");
+            if let Err(err) = worker.agents.call(&request, CLAIM_TIMEOUT).await {
+                log::debug!(
+                    "a claim was not released, so repeats are refused as already running: {err}"
+                );
             }
         });
     }
 
-    /// Records how a request ended. Returns once agents have taken it; while none can be
-    /// reached the answer's end waits a little, since the bill would be lost with this
-    /// router, and then goes out while the router goes on trying.
-    pub async fn finish(self: &Rc<Self>, key: ClaimKey, attempt: AttemptId, finish: Finish) {
+    /// Records how a request ended, and returns once an agent has accepted it. While no agent can
+    /// be reached the end of the response is held back for a limited time, since the billing record
+    /// would be lost if this router died; then the response is sent while the router keeps retrying.
+    pub async fn record_finish(self: &Rc<Self>, key: ClaimKey, attempt: AttemptId, finish: Finish) {
         let request = ControlRequest::Finish {
             key,
             attempt,
@@ -196,19 +203,25 @@
         self.shared
             .recent_finishes
             .push(request.clone(), Now::read());
-        if timeout(FINISH_PATIENCE, self.agents.finish_at_last(&request))
-            .await
-            .is_ok()
+        if timeout(
+            FINISH_WAIT_LIMIT,
+            self.agents.send_finish_with_retries(&request),
+        )
+        .await
+        .is_ok()
         {
             return;
         }
         let worker = self.clone();
-        let untaken = self.shared.untaken_finishes.token();
+        let undelivered = self.shared.undelivered_finishes.token();
         actix_rt::spawn(async move {
-            let _untaken = untaken;
-            if timeout(FINISH_LIMIT, worker.agents.finish_at_last(&request))
-                .await
-                .is_err()
+            let _undelivered = undelivered;
+            if timeout(
+                FINISH_RETRY_LIMIT,
+                worker.agents.send_finish_with_retries(&request),
+            )
+            .await
+            .is_err()
             {
                 log::error!("invariant: the end of a request was not recorded: {request:?}");
             }
@@ -216,27 +229,27 @@
     }
 }
 
-/// Who sent a request, and until when an answer is of use.
+/// The sender of a request and the request's deadline.
 #[derive(Debug, Clone)]
 pub struct Caller {
-    /// The organisation that the credential names.
+    /// The organisation that the credential belongs to.
     pub organisation: String,
-    /// The caller's `Idempotency-Key`, else a minted id.
+    /// The caller's `Idempotency-Key`, or a generated id.
     pub request_id: String,
-    /// When the request came.
+    /// When the request was received.
     pub received: Now,
-    /// The monotonic moment after which no answer is of use.
+    /// The monotonic time after which a response is of no use.
     pub deadline: Duration,
 }
 
 impl Caller {
-    /// Returns the time that is left.
-    pub fn time_left(&self, now: Now) -> Duration {
+    /// Returns the time until the deadline.
+    pub fn remaining_time(&self, now: Now) -> Duration {
         self.deadline.saturating_sub(now.monotonic)
     }
 
     /// Returns the key under which the request is claimed and billed.
-    pub fn key(&self) -> ClaimKey {
+    pub fn claim_key(&self) -> ClaimKey {
         ClaimKey {
             organisation: self.organisation.clone(),
             request_id: self.request_id.clone(),
@@ -244,7 +257,7 @@
     }
 }
 
-/// Makes a refusal.
+/// Creates a refusal.
 pub fn refuse(outcome: Outcome, reason: Reason, message: impl Into<String>) -> Refused {
     Refused {
         outcome,
@@ -254,14 +267,14 @@
     }
 }
 
-/// Refuses a request because every upstream that could serve it has asked for rest.
-pub fn refuse_for_rest(outcome: Outcome, left: Duration) -> Refused {
+/// Refuses a request because every upstream that could serve it has asked for a back-off.
+pub fn refuse_for_backoff(outcome: Outcome, backoff: Duration) -> Refused {
     Refused {
-        come_back_after: Some(left),
+        come_back_after: Some(backoff),
         ..refuse(
             outcome,
             Reason::Resting,
-            "all upstreams have asked for rest",
+            "all upstreams have asked for a back-off",
         )
     }
 }
--- a/src/router/crash_guard.rs
+++ b/src/router/crash_guard.rs
@@ -1,6 +1,6 @@
-//! Keeps requests that crash their upstreams from being sent on.
+//! Stops requests that crash their upstreams from being sent again.
 //!
-//! Routers report what they saw to their agent, and agents pool it with each other; see
+//! Routers report the crashes they saw to their agent, and agents exchange them; see
 //! `docs/design/quarantine.md`.
 
 use super::context::{RouterShared, refuse};
@@ -19,55 +19,55 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
 
-/// How long after a run broke off its upstream is asked for a connection: a process that ends
-/// closes its connections and its listening socket one after the other.
-const CHECK_DELAY: Duration = Duration::from_millis(15);
-/// The longest wait for that connection.
-const CHECK_TIMEOUT: Duration = Duration::from_millis(300);
+/// How long after an interruption the upstream's address is checked: a process that ends closes its
+/// connections and its listening socket one after the other.
+const CONNECT_CHECK_DELAY: Duration = Duration::from_millis(15);
+/// The longest wait for the connection of that check.
+const CONNECT_CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 /// The most records in one report to the agent.
-const RECORDS_PER_REPORT: usize = 64;
+const MAX_RECORDS_PER_REPORT: usize = 64;
 
-/// What a router knows of requests that were at crashes.
+/// The requests that this router knows to have been running at upstreams when these crashed.
 #[derive(Debug, Default)]
-pub struct Suspects {
+pub struct CrashSuspects {
     ledger: Mutex<CrashLedger>,
-    /// Rings when the agent should hear of something at once.
+    /// Notified if the agent should get a report at once.
     pub changed: Notify,
 }
 
-impl Suspects {
+impl CrashSuspects {
     fn ledger(&self) -> MutexGuard<'_, CrashLedger> {
         self.ledger.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes what the agent has heard.
-    pub fn take(&self, records: &[CrashRecord], now: Now) {
+    /// Merges the records that the agent sent.
+    pub fn merge(&self, records: &[CrashRecord], now: Now) {
         let mut ledger = self.ledger();
         for record in records {
             let before = ledger.standing(record.request, now);
             ledger.take(record, now);
-            note_standing(before, record.request, &ledger, now);
+            log_standing_change(before, record.request, &ledger, now);
         }
     }
 
-    /// Returns what the agent is told.
-    pub fn records(&self, now: Now) -> Vec<CrashRecord> {
-        self.ledger().most_telling(RECORDS_PER_REPORT, now)
+    /// Returns the records for a report to the agent.
+    pub fn report_records(&self, now: Now) -> Vec<CrashRecord> {
+        self.ledger().most_telling(MAX_RECORDS_PER_REPORT, now)
     }
 
-    /// Changes what is known of a request here, and has the agent told.
-    fn change(&self, request: Fingerprint, now: Now, change: impl FnOnce(&mut CrashLedger)) {
+    /// Updates what is known of a request, and triggers a report to the agent.
+    fn update(&self, request: Fingerprint, now: Now, update: impl FnOnce(&mut CrashLedger)) {
         let mut ledger = self.ledger();
         let before = ledger.standing(request, now);
-        change(&mut ledger);
-        note_standing(before, request, &ledger, now);
+        update(&mut ledger);
+        log_standing_change(before, request, &ledger, now);
         drop(ledger);
         self.changed.notify_one();
     }
 }
 
-/// Logs a change of what may be done with a request.
-fn note_standing(before: Standing, request: Fingerprint, ledger: &CrashLedger, now: Now) {
+/// Logs a change of a request's standing.
+fn log_standing_change(before: Standing, request: Fingerprint, ledger: &CrashLedger, now: Now) {
     let standing = ledger.standing(request, now);
     if std::mem::discriminant(&before) != std::mem::discriminant(&standing) {
         let fingerprint = request.to_string();
@@ -75,7 +75,7 @@
     }
 }
 
-/// One request on its way, as far as crashes are concerned.
+/// Tracks one request for crashes of its upstreams.
 #[derive(Debug)]
 pub struct CrashGuard {
     shared: Arc<RouterShared>,
@@ -84,7 +84,7 @@
 }
 
 impl CrashGuard {
-    /// Begins to watch a request.
+    /// Starts to track a request.
     pub fn new(shared: &Arc<RouterShared>, request: Fingerprint) -> Rc<Self> {
         Rc::new(Self {
             shared: shared.clone(),
@@ -94,92 +94,102 @@
     }
 
     /// Decides whether the request may be sent now.
-    pub fn admit(&self, log: &DispatchLog, now: Now) -> Result<(), Refused> {
-        let standing = self.shared.suspects.ledger().standing(self.request, now);
-        let refused = |reason, message| Err(refuse(log.refusal_outcome(), reason, message));
+    pub fn admit(&self, dispatch_log: &DispatchLog, now: Now) -> Result<(), Refused> {
+        let standing = self
+            .shared
+            .crash_suspects
+            .ledger()
+            .standing(self.request, now);
+        let refused =
+            |reason, message| Err(refuse(dispatch_log.refusal_outcome(), reason, message));
         match standing {
             Standing::Clear => Ok(()),
             Standing::Suspect | Standing::OnTrial(_) if self.on_trial.get() => Ok(()),
             Standing::Suspect => {
                 self.on_trial.set(true);
                 let begin = |ledger: &mut CrashLedger| ledger.begin_trial(self.request, now);
-                self.shared.suspects.change(self.request, now, begin);
+                self.shared.crash_suspects.update(self.request, now, begin);
                 Ok(())
             }
             Standing::OnTrial(_) => refused(
                 Reason::OnTrial,
-                "upstreams crashed that ran this request, and another send of it is tried alone",
+                "upstreams crashed while they ran this request, and another send of it is on trial",
             ),
             Standing::Quarantined => refused(
                 Reason::CrashesUpstreams,
-                "upstreams crash that run this request",
+                "upstreams crash when they run this request",
             ),
         }
     }
 
-    /// Finds out whether the upstream where a run broke off has crashed, and records it.
-    pub async fn broke_off(&self, upstream: &str, address: SocketAddr) {
+    /// Checks whether the upstream of an interrupted attempt has crashed, and records the result.
+    pub async fn check_for_crash(&self, upstream: &str, address: SocketAddr) {
         let was_on_trial = self.on_trial.take();
-        sleep(CHECK_DELAY).await;
-        let found = AfterBreak::by(&connect(address).await);
+        sleep(CONNECT_CHECK_DELAY).await;
+        let result = AfterBreak::by(&try_connect(address).await);
         let now = Now::read();
         let fingerprint = self.request.to_string();
         let fingerprint = fingerprint.as_str();
-        log::info!(upstream, fingerprint; "a run broke off: {found:?}");
+        log::info!(upstream, fingerprint; "an attempt was interrupted: {result:?}");
         let part = match was_on_trial {
             true => Part::OnTrial,
             false => Part::Present,
         };
-        match found {
+        match result {
             AfterBreak::Crashed => {
-                let life = life_hash(upstream, address);
-                self.shared.suspects.change(self.request, now, |ledger| {
-                    ledger.crashed(life, self.request, part, now);
-                });
+                let incarnation = incarnation_hash(upstream, address);
+                self.shared
+                    .crash_suspects
+                    .update(self.request, now, |ledger| {
+                        ledger.crashed(incarnation, self.request, part, now);
+                    });
             }
             AfterBreak::Alive | AfterBreak::Unreachable if was_on_trial => {
                 let end = |ledger: &mut CrashLedger| ledger.end_trial(self.request);
-                self.shared.suspects.change(self.request, now, end);
+                self.shared.crash_suspects.update(self.request, now, end);
             }
             AfterBreak::Alive | AfterBreak::Unreachable => {}
         }
     }
 
-    /// Records that the request was answered whole.
-    pub fn answered(&self, now: Now) {
-        if self.shared.suspects.ledger().is_empty() {
+    /// Records that the request was answered completely.
+    pub fn record_answered(&self, now: Now) {
+        if self.shared.crash_suspects.ledger().is_empty() {
             return;
         }
-        self.shared.suspects.change(self.request, now, |ledger| {
-            ledger.answered(self.request, now);
-        });
+        self.shared
+            .crash_suspects
+            .update(self.request, now, |ledger| {
+                ledger.answered(self.request, now);
+            });
     }
 }
 
-/// The trial of a request that ran nowhere, or that was given up, tells nothing.
+/// A trial that ran nowhere, or that was abandoned, proves nothing.
 impl Drop for CrashGuard {
     fn drop(&mut self) {
         if self.on_trial.get() {
-            self.shared.suspects.ledger().end_trial(self.request);
+            self.shared.crash_suspects.ledger().end_trial(self.request);
         }
     }
 }
 
-async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
-    let connecting = timeout(CHECK_TIMEOUT, TcpStream::connect(address)).await;
+async fn try_connect(address: SocketAddr) -> io::Result<TcpStream> {
+    let connecting = timeout(CONNECT_CHECK_TIMEOUT, TcpStream::connect(address)).await;
     connecting.map_err(|_elapsed| io::Error::from(io::ErrorKind::TimedOut))?
 }
 
-/// Names one life of an upstream. The list tells no lives apart, so an upstream that crashes twice
-/// under one name and address counts once.
-fn life_hash(name: &str, address: SocketAddr) -> LifeHash {
+/// Identifies one incarnation of an upstream. The list doesn't distinguish incarnations, so an
+/// upstream that crashes twice under one name and address counts once.
+fn incarnation_hash(name: &str, address: SocketAddr) -> LifeHash {
     let text = format!("{name} {address}");
-    // The lower half of a hash is as good as any other.
+    // The lower half of the hash is as evenly distributed as any other part.
     xxhash_rust::xxh3::xxh3_64(text.as_bytes()) as u32
 }
 
-/// Runs a check aside, where a request's end must not wait for it.
-pub fn check_aside(guard: &Rc<CrashGuard>, upstream: &Upstream) {
-    let (guard, name, address) = (guard.clone(), upstream.name.clone(), upstream.address);
-    actix_rt::spawn(async move { guard.broke_off(&name, address).await });
+/// Runs the check in the background, where the end of a request must not wait for it.
+pub fn check_for_crash_in_background(crash_guard: &Rc<CrashGuard>, upstream: &Upstream) {
+    let (crash_guard, name, address) =
+        (crash_guard.clone(), upstream.name.clone(), upstream.address);
+    actix_rt::spawn(async move { crash_guard.check_for_crash(&name, address).await });
 }
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -1,7 +1,7 @@
-//! Sends a request to an upstream, and says what is known when no answer begins.
+//! Sends a request to an upstream and tells what is known if no response starts.
 //!
-//! All ways of the data path go through here, so that the rule of what proves a request
-//! unsent stands in one place.
+//! All code paths that send requests go through here, so that there is a single rule for what
+//! proves that a request was not sent.
 
 use super::body::UpstreamResponse;
 use super::context::{Caller, refuse};
@@ -14,28 +14,28 @@
 use awc::SendClientRequest;
 use tokio::time::timeout;
 
-/// Why no answer began to come.
+/// Why no response started.
 #[derive(Debug)]
 pub struct DispatchFailure {
-    /// What the caller would be told.
+    /// The refusal for the caller.
     pub refused: Refused,
-    /// Whether it is proved that this try wrote no byte.
+    /// Whether it is proved that this attempt wrote no byte.
     pub is_unsent: bool,
 }
 
-/// Sends a request and waits for the head of its answer until the caller's deadline.
+/// Sends a request and waits for the head of the response until the caller's deadline.
 pub async fn dispatch(
     request: SendClientRequest,
     caller: &Caller,
     upstream: &Upstream,
-    log: &mut DispatchLog,
+    dispatch_log: &mut DispatchLog,
 ) -> Result<UpstreamResponse, DispatchFailure> {
-    let sending = log.begin();
-    let answered = timeout(caller.time_left(Now::read()), request).await;
-    let (reason, message, proof) = match answered {
+    let attempt = dispatch_log.begin();
+    let result = timeout(caller.remaining_time(Now::read()), request).await;
+    let (reason, message, proof) = match result {
         Ok(Ok(response)) => {
-            log.keep(sending);
-            read_signs(&response, upstream, Now::read());
+            dispatch_log.keep(attempt);
+            apply_signals(&response, upstream, Now::read());
             return Ok(response);
         }
         Ok(Err(err)) => (
@@ -47,15 +47,15 @@
     };
     let is_unsent = proof.is_some();
     match proof {
-        Some(proof) => log.retract(sending, proof),
-        None => log.keep(sending),
+        Some(proof) => dispatch_log.retract(attempt, proof),
+        None => dispatch_log.keep(attempt),
     }
-    let refused = refuse(log.refusal_outcome(), reason, message);
+    let refused = refuse(dispatch_log.refusal_outcome(), reason, message);
     Err(DispatchFailure { refused, is_unsent })
 }
 
-/// Takes from an answer whether its upstream leaves, or wants nothing for a while.
-fn read_signs(response: &UpstreamResponse, upstream: &Upstream, now: Now) {
+/// Reads from a response whether its upstream is leaving or asks for a back-off.
+fn apply_signals(response: &UpstreamResponse, upstream: &Upstream, now: Now) {
     let text = |name: &str| {
         let value = response.headers().get(name)?;
         value.to_str().ok()
@@ -67,10 +67,10 @@
     let signs = Signs::read(response.status().as_u16(), headers, now.wall);
     let name = upstream.name.as_str();
     if signs.leaves {
-        log::info!(upstream = name; "the upstream has said that it leaves, nothing more is sent there");
+        log::info!(upstream = name; "the upstream is leaving; no more requests are sent to it");
     }
-    if let Some(rest) = signs.rest {
-        log::info!(upstream = name, rest_ms = millis(rest); "the upstream asks for rest");
+    if let Some(backoff) = signs.rest {
+        log::info!(upstream = name, rest_ms = millis(backoff); "the upstream asked for a back-off");
     }
     upstream.load.take_signs(signs, now);
 }
--- a/src/router/entry.rs
+++ b/src/router/request_handler.rs
@@ -1,9 +1,9 @@
-//! Where a request comes in: whose it is, what it is for, and until when.
+//! Handles incoming requests: identifies the caller, reads the deadline, and selects the API.
 
-use super::answer::refusal;
+use super::completions::serve_completion;
 use super::context::{Caller, Worker, refuse};
-use super::model::serve_model;
-use super::plain::serve_plain;
+use super::plain_service::serve_plain;
+use super::responses::refusal_response;
 use crate::claim::mint_request_id;
 use crate::clock::Now;
 use crate::keys::hex;
@@ -15,26 +15,26 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The request header that makes repeats of a request known as such.
+/// The request header that identifies repeats of a request.
 pub const IDEMPOTENCY_HEADER: &str = "idempotency-key";
-/// The request header with the time in milliseconds after which no answer is of use.
+/// The request header with the time in milliseconds after which a response is of no use.
 pub const DEADLINE_HEADER: &str = "gatepier-deadline-ms";
 
 const COMPLETIONS_PATH: &str = "/v1/chat/completions";
 const BEARER: &str = "Bearer ";
-const REQUEST_ID_LENGTH_LIMIT: usize = 128;
+const REQUEST_ID_MAX_CHARS: usize = 128;
 
 /// Serves one request.
-pub async fn serve(worker: Rc<Worker>, req: Request) -> Response<BoxBody> {
+pub async fn handle_request(worker: Rc<Worker>, req: Request) -> Response<BoxBody> {
     let received = Now::read();
-    worker.shared.await_first_knowledge().await;
-    let caller = match identify(&worker, &req, received) {
+    worker.shared.wait_until_ready().await;
+    let caller = match read_caller(&worker, &req, received) {
         Ok(caller) => caller,
-        Err(refused) => return refusal(&refused, None),
+        Err(refused) => return refusal_response(&refused, None),
     };
     let path = req.path();
     if path == COMPLETIONS_PATH && req.method() == Method::POST {
-        return serve_model(worker, caller, req).await;
+        return serve_completion(worker, caller, req).await;
     }
     let service = path
         .trim_start_matches('/')
@@ -45,8 +45,8 @@
     serve_plain(worker, caller, service, req).await
 }
 
-/// Reads who sent a request; the organisation follows from the credential alone.
-fn identify(worker: &Worker, req: &Request, received: Now) -> Result<Caller, Refused> {
+/// Reads the caller from a request; the organisation follows from the credential alone.
+fn read_caller(worker: &Worker, req: &Request, received: Now) -> Result<Caller, Refused> {
     let not_run = |reason, message: &str| refuse(Outcome::NotRun, reason, message);
     let settings = &worker.shared.settings;
     let header = |name: &str| {
@@ -58,7 +58,12 @@
     let organisation = credential
         .map(|credential| hex(&Sha256::digest(credential.as_bytes())))
         .and_then(|digest| settings.credentials.get(&digest))
-        .ok_or_else(|| not_run(Reason::NoCredential, "the bearer credential is not known"))?;
+        .ok_or_else(|| {
+            not_run(
+                Reason::NoCredential,
+                "the bearer credential is missing or unknown",
+            )
+        })?;
     let request_id = match header(IDEMPOTENCY_HEADER) {
         Some(id) if is_request_id(id) => id.to_owned(),
         Some(_) => {
@@ -67,15 +72,15 @@
         }
         None => mint_request_id(&settings.identity.hall),
     };
-    let wanted = match header(DEADLINE_HEADER).map(str::parse::<u64>) {
+    let requested = match header(DEADLINE_HEADER).map(str::parse::<u64>) {
         None => settings.deadline,
-        Some(Ok(wanted)) => Duration::from_millis(wanted).min(settings.deadline),
+        Some(Ok(requested)) => Duration::from_millis(requested).min(settings.deadline),
         Some(Err(_)) => {
             let message = "the deadline must be a whole number of milliseconds";
             return Err(not_run(Reason::BadRequest, message));
         }
     };
-    let deadline = received.monotonic + wanted;
+    let deadline = received.monotonic + requested;
     Ok(Caller {
         organisation: organisation.clone(),
         request_id,
@@ -86,5 +91,5 @@
 
 fn is_request_id(id: &str) -> bool {
     let printable = id.chars().all(|c| c.is_ascii_graphic());
-    printable && !id.is_empty() && id.len() <= REQUEST_ID_LENGTH_LIMIT
+    printable && !id.is_empty() && id.len() <= REQUEST_ID_MAX_CHARS
 }
--- a/src/router/answer.rs
+++ b/src/router/responses.rs
@@ -1,4 +1,4 @@
-//! Answers that the router itself gives.
+//! Response headers, and responses that the router itself generates.
 
 use super::context::Caller;
 use crate::outcome::{Outcome, Reason, Refused};
@@ -7,19 +7,19 @@
 use actix_http::{Response, StatusCode};
 use serde_json::json;
 
-/// The response header that tells whether the request ran.
+/// Tells whether the request ran.
 pub const OUTCOME_HEADER: &str = "gatepier-outcome";
-/// The response header that names the request, for repeats and for `gatepier explain`.
+/// Identifies the request, for repeats and for `gatepier explain`.
 pub const REQUEST_ID_HEADER: &str = "gatepier-request-id";
-/// The response header that names the version that ran.
+/// The version that ran.
 pub const VERSION_HEADER: &str = "gatepier-version";
-/// The response header of an answer that was kept from an earlier try of the caller.
+/// Marks a response that was saved from an earlier send of the same request.
 pub const REPEATED_HEADER: &str = "gatepier-repeated";
-/// The response header that tells whether an answer passed an inline gate by its rating.
+/// Tells whether an answer passed an inline gate by its rating.
 pub const RATED_HEADER: &str = "gatepier-rated";
 
-/// Returns a refusal's answer: at once, with whether the request ran and when to come back.
-pub fn refusal(refused: &Refused, request_id: Option<&str>) -> Response<BoxBody> {
+/// Returns the response for a refusal, with whether the request ran and when to retry.
+pub fn refusal_response(refused: &Refused, request_id: Option<&str>) -> Response<BoxBody> {
     let status = StatusCode::from_u16(refused.reason.status());
     let mut res = Response::build(status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR));
     res.insert_header((OUTCOME_HEADER, refused.outcome.to_string()));
@@ -34,17 +34,17 @@
         .map_into_boxed_body()
 }
 
-/// Returns the bytes of the answer that a caller finds on a connection which the router closes
-/// with no request under way: a request that it may have sent has not run.
-pub fn closing_answer() -> Vec<u8> {
+/// Returns the bytes of the response that a caller finds on a connection that the router closes
+/// with no request in progress: a request that the caller may have sent has not run.
+pub fn connection_closing_response() -> Vec<u8> {
     let refused = Refused {
         outcome: Outcome::NotRun,
         reason: Reason::ConnectionClosed,
-        message: "the router stops; send the request on another connection".to_owned(),
+        message: "the router is stopping; send the request on another connection".to_owned(),
         come_back_after: None,
     };
     let body = refusal_body(&refused).to_string();
-    let response = refusal(&refused, None);
+    let response = refusal_response(&refused, None);
     let status = response.status();
     let mut text = format!("HTTP/1.1 {status}\r\nconnection: close\r\n");
     text += &format!("content-length: {}\r\n", body.len());
@@ -55,7 +55,7 @@
     format!("{text}\r\n{body}").into_bytes()
 }
 
-/// Returns a refusal's body, in the form of the completions API's errors.
+/// Returns the body of a refusal, in the format of the completions API's errors.
 pub fn refusal_body(refused: &Refused) -> serde_json::Value {
     json!({
         "error": {
@@ -68,7 +68,7 @@
     })
 }
 
-/// Returns a refusal's answer to a known caller.
-pub fn refusal_to(refused: &Refused, caller: &Caller) -> Response<BoxBody> {
-    refusal(refused, Some(&caller.request_id))
+/// Returns the response for a refusal to a known caller.
+pub fn refusal_response_to(refused: &Refused, caller: &Caller) -> Response<BoxBody> {
+    refusal_response(refused, Some(&caller.request_id))
 }
--- a/src/router/sse.rs
+++ b/src/router/sse.rs
@@ -1,14 +1,14 @@
-//! Reads what the router has to know of a stream of server-sent events, while the
-//! bytes themselves are relayed as they come.
+//! Scans a stream of server-sent events for its end and its token usage, while the bytes are
+//! relayed unchanged.
 
 use serde::Deserialize;
 
 const DATA_FIELD: &[u8] = b"data:";
-const END_OF_ANSWER: &[u8] = b"[DONE]";
+const DONE_MARKER: &[u8] = b"[DONE]";
 const USAGE_KEY: &[u8] = b"\"usage\"";
-const LINE_BYTES_LIMIT: usize = 1024 * 1024;
+const LINE_MAX_BYTES: usize = 1024 * 1024;
 
-/// The tokens that an answer took, as the completions API tells it.
+/// The token usage of an answer, as the completions API reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 pub struct Usage {
     /// The tokens of the request and of the answer together.
@@ -21,34 +21,34 @@
     usage: Option<Usage>,
 }
 
-/// Watches a stream for its end and for its usage.
+/// Scans a stream for its end and its token usage.
 #[derive(Debug, Default)]
-pub struct StreamWatch {
+pub struct StreamScanner {
     line: Vec<u8>,
     usage: Usage,
     done: bool,
 }
 
-impl StreamWatch {
-    /// Takes the next bytes of the stream.
+impl StreamScanner {
+    /// Scans the next bytes of the stream.
     pub fn push(&mut self, bytes: &[u8]) {
-        for part in bytes.split_inclusive(|byte| *byte == b'\n') {
-            if self.line.len() + part.len() <= LINE_BYTES_LIMIT {
-                self.line.extend_from_slice(part);
+        for segment in bytes.split_inclusive(|byte| *byte == b'\n') {
+            if self.line.len() + segment.len() <= LINE_MAX_BYTES {
+                self.line.extend_from_slice(segment);
             }
-            if part.ends_with(b"\n") {
-                self.take_line();
+            if segment.ends_with(b"\n") {
+                self.parse_line();
             }
         }
     }
 
-    fn take_line(&mut self) {
+    fn parse_line(&mut self) {
         let line = std::mem::take(&mut self.line);
         let Some(data) = line.strip_prefix(DATA_FIELD) else {
             return;
         };
         let data = data.trim_ascii();
-        if data == END_OF_ANSWER {
+        if data == DONE_MARKER {
             self.done = true;
         } else if contains(data, USAGE_KEY)
             && let Ok(Chunk { usage: Some(usage) }) = serde_json::from_slice(data)
@@ -57,12 +57,12 @@
         }
     }
 
-    /// Tells whether the answer is whole.
+    /// Returns whether the answer is complete.
     pub fn is_done(&self) -> bool {
         self.done
     }
 
-    /// Returns the usage seen so far.
+    /// Returns the token usage read so far.
     pub fn usage(&self) -> Usage {
         self.usage
     }
@@ -74,8 +74,8 @@
         .any(|window| window == needle)
 }
 
-/// Returns the usage of a whole answer, or none if the answer is not whole.
-pub fn usage_of_answer(body: &[u8]) -> Option<Usage> {
+/// Returns the token usage of a complete answer, or `None` if the answer is incomplete.
+pub fn answer_usage(body: &[u8]) -> Option<Usage> {
     let answer: Chunk = serde_json::from_slice(body).ok()?;
     Some(answer.usage.unwrap_or_default())
 }
--- a/src/router/telemetry.rs
+++ b/src/router/telemetry.rs
@@ -6,11 +6,11 @@
 use opentelemetry::metrics::{Counter, Gauge, Histogram};
 use std::time::Duration;
 
-const LATENCY_BOUNDS: [f64; 14] = [
+const LATENCY_BUCKETS_SECONDS: [f64; 14] = [
     0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0,
 ];
 
-/// The router's instruments.
+/// The router's metric instruments.
 #[derive(Debug)]
 pub struct RouterMetrics {
     latency: Histogram<f64>,
@@ -18,18 +18,18 @@
     answers: Counter<u64>,
     cost: Counter<u64>,
     generation: Gauge<u64>,
-    heard_age: Gauge<u64>,
+    agent_age: Gauge<u64>,
 }
 
 impl RouterMetrics {
-    /// Makes the instruments.
+    /// Creates the instruments.
     pub fn new(metrics: &Metrics) -> Self {
         let meter = metrics.meter();
         let latency = meter.f64_histogram("gatepier_request_seconds");
         Self {
             latency: latency
                 .with_description("Time from request to the end of its answer.")
-                .with_boundaries(LATENCY_BOUNDS.to_vec())
+                .with_boundaries(LATENCY_BUCKETS_SECONDS.to_vec())
                 .build(),
             refusals: meter
                 .u64_counter("gatepier_refusals")
@@ -47,7 +47,7 @@
                 .u64_gauge("gatepier_generation")
                 .with_description("The generation of the change log in force.")
                 .build(),
-            heard_age: meter
+            agent_age: meter
                 .u64_gauge("gatepier_agent_age_ms")
                 .with_description("Milliseconds since the agent was heard from.")
                 .build(),
@@ -55,12 +55,12 @@
     }
 
     /// Records a request that ended.
-    pub fn record_request(&self, record: &DecisionRecord, took: Duration) {
+    pub fn record_request(&self, record: &DecisionRecord, elapsed: Duration) {
         let organisation = KeyValue::new("organisation", record.organisation.clone());
         let ran_on = record
             .tries
             .last()
-            .map_or("", |tried| tried.ran_on.as_str());
+            .map_or("", |attempt| attempt.ran_on.as_str());
         let ran_on = KeyValue::new("ran_on", ran_on.to_owned());
         if let Some(reason) = &record.reason {
             let reason = KeyValue::new("reason", reason.clone());
@@ -72,14 +72,14 @@
             self.cost.add(record.cost_micros, &labels);
         }
         self.latency
-            .record(took.as_secs_f64(), &[organisation, ran_on]);
+            .record(elapsed.as_secs_f64(), &[organisation, ran_on]);
     }
 
-    /// Records what the router knows.
-    pub fn record_state(&self, generation: u64, heard_age: Duration) {
+    /// Records the generation in force and the time since the agent last accepted a report.
+    pub fn record_state(&self, generation: u64, agent_age: Duration) {
         self.generation.record(generation, &[]);
-        self.heard_age.record(
-            u64::try_from(heard_age.as_millis()).unwrap_or(u64::MAX),
+        self.agent_age.record(
+            u64::try_from(agent_age.as_millis()).unwrap_or(u64::MAX),
             &[],
         );
     }
--- a/src/router/trace.rs
+++ b/src/router/trace.rs
@@ -1,4 +1,4 @@
-//! What was decided about one request, from its arrival to its end.
+//! Records what was decided about one request, from its arrival to its end.
 
 use super::context::{Caller, RouterShared};
 use crate::clock::Now;
@@ -6,7 +6,7 @@
 use crate::record::DecisionRecord;
 use std::time::Duration;
 
-/// What was decided so far about one request.
+/// The decisions about one request so far.
 #[derive(Debug)]
 pub struct Trace {
     /// The record that `gatepier explain` shows.
@@ -15,8 +15,8 @@
 }
 
 impl Trace {
-    /// Begins a record.
-    pub fn begin(shared: &RouterShared, caller: &Caller, asked_for: &str) -> Self {
+    /// Starts a record.
+    pub fn start(shared: &RouterShared, caller: &Caller, asked_for: &str) -> Self {
         let record = DecisionRecord {
             request_id: caller.request_id.clone(),
             organisation: caller.organisation.clone(),
@@ -41,29 +41,29 @@
     }
 
     /// Records a refusal.
-    pub fn refused(&mut self, refused: &Refused) {
+    pub fn record_refusal(&mut self, refused: &Refused) {
         self.record.status = refused.reason.status();
         self.record.outcome = refused.outcome;
         self.record.reason = Some(refused.reason.name().to_owned());
     }
 
-    /// Ends the record, logs it and sends it to the agent; a full queue drops it.
-    pub fn end(mut self, shared: &RouterShared, now: Now) {
-        let took = now.monotonic.saturating_sub(self.received);
-        self.record.took_ms = u64::try_from(took.as_millis()).unwrap_or(u64::MAX);
+    /// Completes the record, logs it and queues it for the agent; a full queue drops it.
+    pub fn finish(mut self, shared: &RouterShared, now: Now) {
+        let elapsed = now.monotonic.saturating_sub(self.received);
+        self.record.took_ms = u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX);
         let record = &self.record;
-        shared.metrics.record_request(record, took);
-        let tried = record.tries.last();
+        shared.metrics.record_request(record, elapsed);
+        let last_attempt = record.tries.last();
         log::debug!(
             request = record.request_id.as_str(),
             organisation = record.organisation.as_str(),
             hall = shared.settings.identity.hall.as_str(),
-            version = tried.map_or("", |tried| tried.ran_on.as_str()),
-            upstream = tried.map_or("", |tried| tried.upstream.as_str()),
+            version = last_attempt.map_or("", |attempt| attempt.ran_on.as_str()),
+            upstream = last_attempt.map_or("", |attempt| attempt.upstream.as_str()),
             status = record.status,
             generation = record.generation;
             "{}: {}", record.asked_for, record.outcome
         );
-        let _ = shared.records.try_send(self.record);
+        let _ = shared.record_sender.try_send(self.record);
     }
 }
--- a/src/router/threads.rs
+++ b/src/router/worker_threads.rs
@@ -1,9 +1,9 @@
 //! The threads that serve a router's callers.
 
-use super::answer::closing_answer;
+use super::connection_stats::{ConnectionEnd, ServedConnection, ThreadCounts};
 use super::context::{RouterShared, Worker};
-use super::entry;
-use super::served::{ConnectionEnd, ServedConnection, ThreadCounts};
+use super::request_handler::handle_request;
+use super::responses::connection_closing_response;
 use crate::error::{Error, Result};
 use crate::http_server::Connections;
 use crate::http_server::accept::Taken;
@@ -26,118 +26,123 @@
 use tokio::time::timeout;
 
 /// How long a caller may take to send a request's head.
-const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a connection may rest between two requests.
-const KEEP_ALIVE: Duration = Duration::from_secs(75);
+const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long a connection may be idle between two requests.
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(75);
 
-/// The time between two probes of a caller that has rested for so long, and how many may be lost.
-const PROBE_INTERVAL: Duration = Duration::from_secs(10);
-const MOST_PROBES: u32 = 3;
+/// The time between two TCP keep-alive probes of an idle connection, and how many may stay
+/// unanswered.
+const TCP_PROBE_INTERVAL: Duration = Duration::from_secs(10);
+const MAX_TCP_PROBES: u32 = 3;
 
-/// A connection as the HTTP library takes it.
-type Lent = (LentStream, Option<SocketAddr>);
+/// A connection in the form that the HTTP library takes.
+type Http1Connection = (LentStream, Option<SocketAddr>);
 
-/// A connection on its way to the thread that serves it.
-struct Handed {
+/// A connection that is queued for its thread.
+struct AssignedConnection {
     stream: std::net::TcpStream,
     served: ServedConnection,
 }
 
-/// A thread as the one that takes connections knows it.
+/// The queue and the counts of one thread.
 #[derive(Debug)]
-struct Thread {
-    queue: UnboundedSender<Handed>,
+struct WorkerThread {
+    queue: UnboundedSender<AssignedConnection>,
     counts: Arc<ThreadCounts>,
 }
 
-/// The threads of a router, which are given connections in turn.
+/// The threads of a router, which get connections in turn.
 #[derive(Debug)]
-pub struct Threads {
-    threads: Vec<Thread>,
+pub struct WorkerThreads {
+    threads: Vec<WorkerThread>,
     next: usize,
 }
 
-impl Threads {
+impl WorkerThreads {
     /// Starts as many threads as the settings say.
     pub fn start(shared: &Arc<RouterShared>, connections: &Connections) -> Result<Self> {
         let threads = (0..shared.settings.workers)
-            .map(|number| start_thread(number, shared.clone(), connections.clone()))
+            .map(|index| start_thread(index, shared.clone(), connections.clone()))
             .collect::<Result<_>>()?;
         Ok(Self { threads, next: 0 })
     }
 
-    /// Returns what became of the connections of each thread, as it goes on.
+    /// Returns the live connection counts of each thread.
     pub fn counts(&self) -> Vec<Arc<ThreadCounts>> {
         let counts = self.threads.iter().map(|thread| thread.counts.clone());
         counts.collect()
     }
 
-    /// Gives a connection to the next thread.
-    pub fn hand(&mut self, taken: Taken) {
-        let Taken { stream, peer, open } = taken;
+    /// Assigns a connection to the next thread.
+    pub fn assign(&mut self, accepted: Taken) {
+        let Taken { stream, peer, open } = accepted;
         let stream = match stream.into_std() {
             Ok(stream) => stream,
-            Err(err) => return log::warn!("the connection of {peer} is lost: {err}"),
+            Err(err) => return log::warn!("the connection of {peer} was lost: {err}"),
         };
         let thread = &self.threads[self.next];
         self.next = (self.next + 1) % self.threads.len();
         let served = ServedConnection::new(thread.counts.clone(), peer, open);
-        if thread.queue.send(Handed { stream, served }).is_err() {
+        if thread
+            .queue
+            .send(AssignedConnection { stream, served })
+            .is_err()
+        {
             log::error!("invariant: the thread that was to serve {peer} has ended");
         }
     }
 }
 
 fn start_thread(
-    number: usize,
+    index: usize,
     shared: Arc<RouterShared>,
     connections: Connections,
-) -> Result<Thread> {
+) -> Result<WorkerThread> {
     let (queue, rx) = unbounded_channel();
     let is_started = Arbiter::new().spawn_fn(move || {
-        actix_rt::spawn(serve_handed(Worker::new(shared), connections, rx));
+        actix_rt::spawn(serve_assigned(Worker::new(shared), connections, rx));
     });
     match is_started {
-        true => Ok(Thread {
+        true => Ok(WorkerThread {
             queue,
-            counts: Arc::new(ThreadCounts::new(number)),
+            counts: Arc::new(ThreadCounts::new(index)),
         }),
         false => Err(Error::Unreachable(
-            "a thread for callers cannot be started".to_owned(),
+            "a worker thread cannot be started".to_owned(),
         )),
     }
 }
 
-/// Serves the connections that a thread is given.
-async fn serve_handed(
+/// Serves the connections that are assigned to a thread.
+async fn serve_assigned(
     worker: Rc<Worker>,
     connections: Connections,
-    mut queue: UnboundedReceiver<Handed>,
+    mut queue: UnboundedReceiver<AssignedConnection>,
 ) {
     let service = http1_service(worker.clone(), connections.clone());
     let Ok(service) = service.new_service(()).await else {
-        return log::error!("a thread for callers cannot serve them");
+        return log::error!("a worker thread cannot create its HTTP service");
     };
     let service = Rc::new(service);
-    while let Some(Handed { stream, served }) = queue.recv().await {
+    while let Some(AssignedConnection { stream, served }) = queue.recv().await {
         let (service, worker) = (service.clone(), worker.clone());
         let connections = connections.clone();
         actix_rt::spawn(async move {
             let end = serve_connection(stream, &*service, worker, &connections).await;
-            served.end(&end);
+            served.record_end(&end);
         });
     }
 }
 
-/// Makes what serves a thread's connections of HTTP/1.1.
+/// Creates the HTTP/1.1 service of a thread.
 fn http1_service(
     worker: Rc<Worker>,
     connections: Connections,
-) -> impl ServiceFactory<Lent, Config = (), Response = (), Error = DispatchError> {
+) -> impl ServiceFactory<Http1Connection, Config = (), Response = (), Error = DispatchError> {
     let closing = connections.clone();
     HttpService::build()
-        .keep_alive(KEEP_ALIVE)
-        .client_request_timeout(HEAD_TIMEOUT)
+        .keep_alive(KEEP_ALIVE_TIMEOUT)
+        .client_request_timeout(REQUEST_HEAD_TIMEOUT)
         .h1_allow_half_closed(false)
         .graceful_shutdown_signal(move || closing.closing())
         .on_connect_ext(|stream: &LentStream, extensions: &mut Extensions| {
@@ -146,10 +151,10 @@
         .h1(move |req: Request| {
             let loan = req.conn_data::<Rc<Loan>>().cloned();
             let (worker, connections) = (worker.clone(), connections.clone());
-            // Boxed, so that its room is free again once the answer's body begins; a
-            // connection keeps the room of the largest unboxed future for good.
+            // Boxed, so that its memory is freed once the body of the response starts; a connection
+            // keeps the memory of the largest unboxed future until it ends.
             Box::pin(async move {
-                let mut response = entry::serve(worker, req).await;
+                let mut response = handle_request(worker, req).await;
                 if let Some(loan) = loan {
                     loan.notice.give(&connections, &mut response);
                 }
@@ -160,41 +165,42 @@
 
 async fn serve_connection(
     stream: std::net::TcpStream,
-    service: &impl Service<Lent, Response = (), Error = DispatchError>,
+    service: &impl Service<Http1Connection, Response = (), Error = DispatchError>,
     worker: Rc<Worker>,
     connections: &Connections,
 ) -> eyre::Result<ConnectionEnd> {
-    prepare(&stream)?;
+    configure_socket(&stream)?;
     let stream = TcpStream::from_std(stream)?;
     let detected = tokio::select! {
-        protocol = timeout(KEEP_ALIVE, detect_protocol(&stream)) => protocol,
+        protocol = timeout(KEEP_ALIVE_TIMEOUT, detect_protocol(&stream)) => protocol,
         () = connections.closing() => {
-            end_connection(stream, Some(&closing_answer())).await?;
-            return Ok(ConnectionEnd::ToldUnread);
+            end_connection(stream, Some(&connection_closing_response())).await?;
+            return Ok(ConnectionEnd::UnreadReported);
         }
     };
     let peer = stream.peer_addr()?;
     match detected {
         Ok(Ok(Protocol::Http2)) => {
-            let handler = Rc::new(move |req| entry::serve(worker.clone(), req));
+            let handler = Rc::new(move |req| handle_request(worker.clone(), req));
             h2::serve(stream, peer, connections, handler).await?;
             Ok(ConnectionEnd::Http2)
         }
         Ok(Ok(_)) => serve_http1(stream, peer, service, connections).await,
         Ok(Err(err)) => Err(err.into()),
-        Err(_rested) => {
+        Err(_elapsed) => {
             end_connection(stream, None).await?;
-            Ok(ConnectionEnd::Rested)
+            Ok(ConnectionEnd::Idle)
         }
     }
 }
 
-/// Sends small answers at once, and has the system ask callers that rest whether they are there.
-fn prepare(stream: &std::net::TcpStream) -> io::Result<()> {
+/// Disables Nagle's algorithm so that small responses are sent at once, and enables TCP keep-alive
+/// probes for idle callers.
+fn configure_socket(stream: &std::net::TcpStream) -> io::Result<()> {
     let probes = TcpKeepalive::new()
-        .with_time(KEEP_ALIVE)
-        .with_interval(PROBE_INTERVAL)
-        .with_retries(MOST_PROBES);
+        .with_time(KEEP_ALIVE_TIMEOUT)
+        .with_interval(TCP_PROBE_INTERVAL)
+        .with_retries(MAX_TCP_PROBES);
     stream.set_nodelay(true)?;
     SockRef::from(stream).set_tcp_keepalive(&probes)
 }
@@ -202,7 +208,7 @@
 async fn serve_http1(
     stream: TcpStream,
     peer: SocketAddr,
-    service: &impl Service<Lent, Response = (), Error = DispatchError>,
+    service: &impl Service<Http1Connection, Response = (), Error = DispatchError>,
     connections: &Connections,
 ) -> eyre::Result<ConnectionEnd> {
     let stream = LentStream::lend(stream);
@@ -210,18 +216,19 @@
     let served = service.call((stream, Some(peer))).await;
     served.map_err(|err| eyre::eyre!("{err}"))?;
     let end = match loan.notice.is_given() {
-        true => ConnectionEnd::AskedToLeave,
-        false if connections.is_closing() => ConnectionEnd::ToldUnread,
-        false => ConnectionEnd::Rested,
+        true => ConnectionEnd::CloseAnnounced,
+        false if connections.is_closing() => ConnectionEnd::UnreadReported,
+        false => ConnectionEnd::Idle,
     };
     if let Some(stream) = loan.take_back() {
-        let last_words = (end == ConnectionEnd::ToldUnread).then(closing_answer);
-        end_connection(stream, last_words.as_deref()).await?;
+        let closing_response =
+            (end == ConnectionEnd::UnreadReported).then(connection_closing_response);
+        end_connection(stream, closing_response.as_deref()).await?;
     }
     Ok(end)
 }
 
-/// Tells by a caller's first bytes what it speaks.
+/// Detects the protocol from a caller's first bytes.
 async fn detect_protocol(stream: &TcpStream) -> io::Result<Protocol> {
     const H2_PREFACE: &[u8] = b"PRI * HTTP/2";
     let mut buf = [0; H2_PREFACE.len()];
