--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -1,4 +1,4 @@
-//! A caller gets the whole answer to its own request, or is told that it does not.
+//! Tests that a caller gets the complete answer to its own request, or a clear failure.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use gatepier::lab::proxy::LinkMode;
 use googletest::prelude::*;
 
-fn set_all(bench: &Bench, version: &str, behaviour: Behaviour) {
+fn set_behaviour_of_all(bench: &Bench, version: &str, behaviour: Behaviour) {
     bench
         .models
         .iter()
@@ -15,24 +15,24 @@
 }
 
 cases! {
-    stream_that_breaks_off_is_told_from_a_whole_one => async {
+    interrupted_stream_is_reported_as_incomplete => async {
         let bench = Bench::start(BenchPlan::default()).await;
-        set_all(&bench, "small/s1", Behaviour { breaking: 1.0, ..Behaviour::default() });
+        set_behaviour_of_all(&bench, "small/s1", Behaviour { breaking: 1.0, ..Behaviour::default() });
         let answer = bench.complete("ikeja-1", "comics", streamed_question("small")).await;
         expect_that!(answer.whole, eq(false));
         expect_that!(answer.body, contains_substring("\"outcome\":\"unknown\""));
         expect_that!(answer.body, not(contains_substring("[DONE]")));
     };
 
-    answer_of_another_request_is_not_passed_on => async {
+    answer_to_another_request_is_not_forwarded => async {
         let bench = Bench::start(BenchPlan::default()).await;
-        set_all(&bench, "small/s1", Behaviour { crossed: true, ..Behaviour::default() });
+        set_behaviour_of_all(&bench, "small/s1", Behaviour { crossed: true, ..Behaviour::default() });
         let answer = bench.ask("ikeja-1", "small").await;
         expect_that!(answer.status, eq(502), "{}", answer.body);
         expect_that!(answer.body, not(contains_substring("crossed\"")));
     };
 
-    failing_upstream_is_retried_on_another => async {
+    request_to_failing_upstream_is_retried_on_another => async {
         let bench = Bench::start(BenchPlan::default()).await;
         let failing = Behaviour { failing: 1.0, ..Behaviour::default() };
         bench.models[0].stand_in.set("small/s1", failing);
@@ -41,7 +41,7 @@
         }
     };
 
-    dead_upstream_is_retried_on_another => async {
+    request_to_unreachable_upstream_is_retried_on_another => async {
         let bench = Bench::start(BenchPlan::default()).await;
         bench.proxy.set("up:ikeja-model-1", LinkMode::Closed);
         for _ in 0..10 {
@@ -51,15 +51,15 @@
         }
     };
 
-    inline_gate_steps_up_when_the_cheap_answer_is_bad => async {
+    inline_gate_escalates_when_the_cheap_answer_is_bad => async {
         let bench = Bench::start(BenchPlan::default()).await;
-        set_all(&bench, "small/s1", Behaviour { quality: 0.0, ..Behaviour::default() });
+        set_behaviour_of_all(&bench, "small/s1", Behaviour { quality: 0.0, ..Behaviour::default() });
         let answer = bench.ask("ikeja-1", "recap").await;
         expect_that!(answer.header("gatepier-version"), eq("large/l1"), "{}", answer.body);
         expect_that!(answer.body, not(contains_substring(BAD_MARK)));
     };
 
-    inline_gate_lets_the_cheap_answer_pass_and_says_so_without_a_rater => async {
+    inline_gate_passes_and_marks_the_unrated_answer_without_a_rater => async {
         let bench = Bench::start(BenchPlan::default()).await;
         bench.proxy.set("rater:", LinkMode::Closed);
         let answer = bench.ask("ikeja-1", "recap").await;
@@ -67,14 +67,14 @@
         expect_that!(answer.header("gatepier-rated"), eq("no"));
     };
 
-    inline_gate_gives_a_stream_where_one_was_asked_for => async {
+    inline_gate_returns_a_stream_if_one_was_requested => async {
         let bench = Bench::start(BenchPlan::default()).await;
         let answer = bench.complete("ikeja-1", "comics", streamed_question("recap")).await;
         expect_that!(answer.header("content-type"), eq("text/event-stream"));
         expect_that!(answer.body, ends_with("data: [DONE]\n\n"));
     };
 
-    repeated_recap_is_billed_once => async {
+    repeated_completion_is_billed_once => async {
         let bench = Bench::start(BenchPlan::default()).await;
         for name in ["ikeja-1", "ikeja-2", "ikeja-1"] {
             let request = bench
@@ -83,7 +83,7 @@
             let answer = read_answer(request.send_json(&question("small")).await).await;
             expect_that!(answer.status, eq(200));
         }
-        bench.wait_for("the bill is there", async || {
+        bench.wait_for("the billing record is stored", async || {
             bench.ledger().await.contains_key("recap-1")
         }).await;
         let ledger = bench.ledger().await;
@@ -99,7 +99,7 @@
         expect_that!(answer.outcome(), eq("not-run"));
     };
 
-    garbage_is_refused_clearly => async {
+    malformed_body_is_refused => async {
         let bench = Bench::start(BenchPlan::default()).await;
         let request = bench.request("ikeja-1", "comics", "POST", "/v1/chat/completions");
         let answer = read_answer(request.send_body("{ not json").await).await;
@@ -118,29 +118,29 @@
         }
     };
 
-    caller_that_leaves_cancels_its_upstream => async {
+    caller_disconnect_cancels_the_upstream_request => async {
         let bench = Bench::start(BenchPlan::default()).await;
         let slow = Behaviour { tokens: 2000, token_ms: 10, ..Behaviour::default() };
-        set_all(&bench, "small/s1", slow);
+        set_behaviour_of_all(&bench, "small/s1", slow);
         let request = bench.request("ikeja-1", "comics", "POST", "/v1/chat/completions");
         let mut response = request.send_json(&streamed_question("small")).await.unwrap();
         let first = futures::StreamExt::next(&mut response).await;
         expect_that!(first.is_some(), eq(true));
         drop(response);
-        // The router's metrics tell that the request ended long before its twenty seconds.
-        bench.wait_for("the request has ended", async || {
+        // The router's metrics show that the request ended long before its 20 seconds of tokens.
+        bench.wait_for("the request ends", async || {
             bench.router_metrics("ikeja-1").await.contains("reason=\"caller-gone\"")
         }).await;
     };
 
-    explain_tells_what_was_decided => async {
+    explain_shows_the_decisions => async {
         let bench = Bench::start(BenchPlan::default()).await;
         bench.operate_ok(0, &["withdraw", "small/s2"]).await;
         bench.wait_generation(&["ikeja-1"], 3).await;
         let answer = bench.ask("ikeja-1", "small").await;
         let id = answer.header("gatepier-request-id").to_owned();
         let text = std::cell::RefCell::new(String::new());
-        bench.wait_for("an agent explains", async || {
+        bench.wait_for("an agent explains the request", async || {
             let output = bench.operate(0, &["explain", &id]).await;
             text.replace(String::from_utf8(output.stdout).unwrap());
             output.status.success()
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the upstreams that run them, over the own interface.
+//! Tests requests that crash the upstreams that run them, sent to the router's own interface.
 
 mod common;
 
@@ -8,23 +8,23 @@
 use serde_json::Value;
 use std::time::{Duration, Instant};
 
-/// What a request that crashes its upstream contains, in these tests.
-const CRASHING: &str = "crash-the-engine";
-/// Upstreams that a request may end: three before it can be known, and as many more.
-const MOST_CRASHED: usize = 3 + 3;
-/// How often a crashing request comes again, and the time between.
+/// The content of a request that crashes its upstream in these tests.
+const CRASHING_CONTENT: &str = "crash-the-engine";
+/// The most upstreams that a request may crash: three before it is a suspect, and three more.
+const MAX_CRASHED_UPSTREAMS: usize = 3 + 3;
+/// How often a crashing request is sent, and the time between two sends.
 const SENDS: usize = 12;
 const SEND_INTERVAL: Duration = Duration::from_millis(400);
-/// How long a list's change may take to reach the routers.
-const PATIENCE: Duration = Duration::from_secs(20);
-const POLL: Duration = Duration::from_millis(20);
+/// How long a change of the upstream list may take to reach the routers.
+const LISTING_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Starts two routers before upstreams of a service that crash when they are asked to.
+/// Starts two routers, and upstreams of a service that crash when a request asks for it.
 async fn start(service: &str, versions: &[&str], count: usize) -> (Bench, Vec<ScriptedUpstream>) {
     let bench = Bench::start_without_upstreams().await;
     let mut upstreams = Vec::new();
     for _ in 0..count {
-        let react = |text: &str| match text.contains(CRASHING) {
+        let react = |text: &str| match text.contains(CRASHING_CONTENT) {
             true => Reaction::Crash,
             false => answer(200, &[]),
         };
@@ -35,18 +35,21 @@
     (bench, upstreams)
 }
 
-fn crashed(upstreams: &[ScriptedUpstream]) -> usize {
+fn count_crashed(upstreams: &[ScriptedUpstream]) -> usize {
     let crashed = upstreams.iter().filter(|upstream| upstream.has_crashed());
     crashed.count()
 }
 
-/// Waits until both routers get answers to a request that harms nobody.
-async fn until_served(bench: &Bench, send: impl AsyncFn(&str) -> u16) {
-    let began = Instant::now();
+/// Waits until both routers get answers to a harmless request.
+async fn wait_until_served(bench: &Bench, send: impl AsyncFn(&str) -> u16) {
+    let started = Instant::now();
     for router in bench.boxes.keys() {
         while send(router).await != 200 {
-            assert!(began.elapsed() < PATIENCE, "{router} serves nothing");
-            tokio::time::sleep(POLL).await;
+            assert!(
+                started.elapsed() < LISTING_TIMEOUT,
+                "{router} serves no requests"
+            );
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
@@ -65,40 +68,40 @@
     read_answer(request.send().await).await.status
 }
 
-/// Sends a crashing request to the routers in turn, and checks that it is given up.
-async fn expect_given_up(
+/// Sends a crashing request to the routers in turn, and checks that it is quarantined.
+async fn expect_quarantined(
     bench: &Bench,
     upstreams: &[ScriptedUpstream],
     send: impl AsyncFn(&str) -> u16,
 ) {
     let routers: Vec<&String> = bench.boxes.keys().collect();
     let mut last = 0;
-    for number in 0..SENDS {
-        last = send(routers[number % routers.len()]).await;
+    for index in 0..SENDS {
+        last = send(routers[index % routers.len()]).await;
         tokio::time::sleep(SEND_INTERVAL).await;
     }
-    expect_that!(crashed(upstreams), le(MOST_CRASHED));
+    expect_that!(count_crashed(upstreams), le(MAX_CRASHED_UPSTREAMS));
     expect_that!(last, eq(400));
 }
 
 cases! {
-    /// Guards against repeats of a completion that ends each engine that runs it.
-    completion_that_crashes_its_engines_is_refused_by_all_routers => async {
+    /// Guards against repeats of a completion that crashes each engine that runs it.
+    completion_that_crashes_engines_is_refused_by_all_routers => async {
         let (bench, upstreams) = start("inkmind", &["small/s1"], 16).await;
-        until_served(&bench, async |router| complete(&bench, router, "hello").await.0).await;
-        expect_given_up(&bench, &upstreams, async |router| {
-            complete(&bench, router, CRASHING).await.0
+        wait_until_served(&bench, async |router| complete(&bench, router, "hello").await.0).await;
+        expect_quarantined(&bench, &upstreams, async |router| {
+            complete(&bench, router, CRASHING_CONTENT).await.0
         })
         .await;
         expect_that!(complete(&bench, "ikeja-1", "hello again").await.0, eq(200));
     };
 
-    /// Guards against the same at a plain service.
-    plain_request_that_crashes_its_upstreams_is_refused_by_all_routers => async {
+    /// Guards against repeats of a plain service's request that crashes each upstream that runs it.
+    plain_request_that_crashes_upstreams_is_refused_by_all_routers => async {
         let (bench, upstreams) = start("reader-api", &[], 16).await;
-        until_served(&bench, async |router| read_page(&bench, router, "page").await).await;
-        expect_given_up(&bench, &upstreams, async |router| {
-            read_page(&bench, router, CRASHING).await
+        wait_until_served(&bench, async |router| read_page(&bench, router, "page").await).await;
+        expect_quarantined(&bench, &upstreams, async |router| {
+            read_page(&bench, router, CRASHING_CONTENT).await
         })
         .await;
         expect_that!(read_page(&bench, "ikeja-1", "page").await, eq(200));
--- a/tests/path.rs
+++ b/tests/end_to_end.rs
@@ -1,5 +1,5 @@
-//! The whole path: a bundle goes in by the command line, requests come in over HTTP, and
-//! each is answered by a version that the bundle allows.
+//! Tests the path from end to end: a bundle is proposed on the command line, requests are sent over
+//! HTTP, and each is answered by a version that the bundle allows.
 
 mod common;
 
@@ -8,26 +8,27 @@
 use googletest::prelude::*;
 use serde_json::Value;
 
-/// Asks for a stream over h2 and returns the events that came, and what broke them off.
-async fn stream_over_h2(bench: &Bench) -> (String, Option<h2::Error>) {
+/// Requests a stream over HTTP/2 and returns the received events, and the error that interrupted them
+/// if there was one.
+async fn read_http2_stream(bench: &Bench) -> (String, Option<h2::Error>) {
     let router = bench.boxes["ikeja-1"].files.router;
     let request = http::Request::post(format!("http://{router}/v1/chat/completions"))
         .header("authorization", "Bearer comics-key")
         .body(())
         .unwrap();
-    let mut sender = connect_over_h2(router).await.ready().await.unwrap();
-    let (response, mut asked) = sender.send_request(request, false).unwrap();
+    let mut connection = connect_over_h2(router).await.ready().await.unwrap();
+    let (response, mut request_body) = connection.send_request(request, false).unwrap();
     let question = streamed_question("small").to_string();
-    asked.send_data(question.into(), true).unwrap();
+    request_body.send_data(question.into(), true).unwrap();
     let response = response.await.unwrap();
     assert_eq!(response.status(), http::StatusCode::OK);
     let mut body = response.into_body();
     let mut events = Vec::new();
-    while let Some(piece) = body.data().await {
-        match piece {
-            Ok(piece) => {
-                body.flow_control().release_capacity(piece.len()).unwrap();
-                events.extend_from_slice(&piece);
+    while let Some(chunk) = body.data().await {
+        match chunk {
+            Ok(chunk) => {
+                body.flow_control().release_capacity(chunk.len()).unwrap();
+                events.extend_from_slice(&chunk);
             }
             Err(err) => return (String::from_utf8(events).unwrap(), Some(err)),
         }
@@ -54,7 +55,7 @@
         expect_that!(bench.version_runs().is_empty(), eq(true));
     };
 
-    stream_comes_whole => async {
+    stream_is_complete => async {
         let bench = Bench::start(BenchPlan::default()).await;
         let answer = bench.complete("ikeja-2", "comics", streamed_question("small")).await;
         expect_that!(answer.status, eq(200));
@@ -62,7 +63,7 @@
         expect_that!(answer.body, ends_with("data: [DONE]\n\n"));
     };
 
-    bookmark_runs_once_and_its_repeat_gets_the_answer => async {
+    bookmark_runs_once_and_its_repeat_gets_the_saved_response => async {
         let bench = Bench::start(BenchPlan::default()).await;
         let first = bench.bookmark("ikeja-1", "mark-1").await;
         expect_that!(first.status, eq(200), "{}", first.body);
@@ -71,37 +72,37 @@
         expect_that!(repeat.header("gatepier-repeated"), eq("yes"));
         expect_that!(repeat.body, eq(&first.body));
         expect_that!(bench.bookmark_runs("mark-1"), eq(1));
-        bench.wait_for("the bill is in the ledger", async || {
+        bench.wait_for("the billing record is in the ledger", async || {
             bench.ledger().await.contains_key("mark-1")
         }).await;
     };
 
-    caller_over_h2_is_served => async {
+    http2_caller_is_served => async {
         let bench = Bench::start(BenchPlan::default()).await;
         let router = bench.boxes["ikeja-1"].files.router;
-        let sender = connect_over_h2(router).await;
+        let connection = connect_over_h2(router).await;
         let request = http::Request::get(format!("http://{router}/reader-api/manifest"))
             .header("authorization", "Bearer comics-key")
             .body(())
             .unwrap();
-        let (response, _) = sender.ready().await.unwrap().send_request(request, true).unwrap();
+        let (response, _) = connection.ready().await.unwrap().send_request(request, true).unwrap();
         let response = response.await.unwrap();
         expect_that!(response.status().as_u16(), eq(200));
         expect_that!(response.headers()["gatepier-outcome"].as_bytes(), eq(b"done"));
     };
 
-    stream_over_h2_comes_whole => async {
+    http2_stream_is_complete => async {
         let bench = Bench::start(BenchPlan::default()).await;
-        let (events, end) = stream_over_h2(&bench).await;
+        let (events, end) = read_http2_stream(&bench).await;
         expect_that!(events, ends_with("data: [DONE]\n\n"));
         expect_that!(end.is_none(), eq(true));
     };
 
-    stream_over_h2_that_breaks_off_is_reset => async {
+    interrupted_http2_stream_is_reset => async {
         let bench = Bench::start(BenchPlan::default()).await;
         let breaking = Behaviour { breaking: 1.0, ..Behaviour::default() };
         bench.models.iter().for_each(|model| model.stand_in.set("small/s1", breaking));
-        let (_events, end) = stream_over_h2(&bench).await;
+        let (_events, end) = read_http2_stream(&bench).await;
         expect_that!(end.is_some_and(|err| err.is_reset()), eq(true));
     };
 }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -1,4 +1,4 @@
-//! Fair shares, refusals at once, and no storm of retries.
+//! Tests overload: fair shares, immediate refusals, and no retry storms.
 
 mod common;
 
@@ -9,12 +9,12 @@
 use googletest::prelude::*;
 use std::time::{Duration, Instant};
 
-/// Each of two upstreams takes so many requests at a time.
+/// The number of requests that each of two upstreams takes at a time.
 const UPSTREAM_LIMIT: usize = 8;
-/// Milliseconds that a request takes.
-const TAKES_MS: u64 = 100;
+/// How long an upstream takes to answer a request, in milliseconds.
+const ANSWER_MS: u64 = 100;
 
-fn small_pool() -> BenchPlan {
+fn small_plan() -> BenchPlan {
     BenchPlan {
         halls: vec![("ikeja", 2)],
         router_extra: format!("upstream_limit = {UPSTREAM_LIMIT}\n"),
@@ -22,16 +22,16 @@
     }
 }
 
-/// What came of a load.
+/// The results of a load.
 #[derive(Default)]
-struct Tally {
+struct LoadResult {
     good: usize,
     refused: usize,
     slowest_refusal: Duration,
-    untold: usize,
+    unexplained: usize,
 }
 
-/// A moment of the steady clock.
+/// A time of the monotonic clock, in milliseconds.
 fn at(millis: u64) -> Now {
     Now {
         monotonic: Duration::from_millis(millis),
@@ -39,11 +39,12 @@
     }
 }
 
-/// One short fault of a plain service's only upstream, such as a second in which it took no
-/// connection, made it rest for up to 15 s: the 48 of 400 requests under way that failed together
-/// counted as 48 failures in a row, and callers were still refused with `no-upstream` 2.5 s later.
+/// Guards against an ejection of up to 15 s after one short fault of a plain service's only upstream,
+/// such as a second in which it accepted no connection. The 48 of 400 concurrent requests that failed
+/// together counted as 48 consecutive failures, and callers were still refused with `no-upstream`
+/// 2.5 s later.
 #[googletest::test]
-fn requests_that_fail_together_make_an_upstream_rest_once() {
+fn requests_that_fail_together_eject_an_upstream_once() {
     let mut failures = Failures::default();
     for number in 0..50 {
         failures.add(at(number).monotonic, at(1000 + number));
@@ -54,34 +55,34 @@
     expect_that!(
         failures.rests(at(1700)),
         eq(false),
-        "it had begun before the rest"
+        "it started before the ejection"
     );
 }
 
 #[googletest::test]
-fn probes_that_fail_make_an_upstream_rest_longer_each_time() {
+fn failed_probes_eject_an_upstream_for_longer_each_time() {
     let mut failures = Failures::default();
     for number in 0..3 {
         failures.add(at(number).monotonic, at(10));
     }
     let mut now = 510;
-    for rest in [1000, 2000, 4000, 8000, 15_000, 15_000] {
+    for ejection_ms in [1000, 2000, 4000, 8000, 15_000, 15_000] {
         expect_that!(failures.rests(at(now)), eq(false));
         failures.add(at(now).monotonic, at(now));
-        expect_that!(failures.rests(at(now + rest - 1)), eq(true));
-        now += rest;
+        expect_that!(failures.rests(at(now + ejection_ms - 1)), eq(true));
+        now += ejection_ms;
     }
     failures.end_row();
     failures.add(at(now).monotonic, at(now));
     expect_that!(
         failures.rests(at(now)),
         eq(false),
-        "two failures in a row are borne"
+        "two consecutive failures are tolerated"
     );
 }
 
-/// Sends requests in an open loop for a while.
-async fn load(bench: &Bench, organisation: &str, rate: f64, duration: Duration) -> Tally {
+/// Sends requests at a fixed rate, without waiting for responses, for a given time.
+async fn send_load(bench: &Bench, organisation: &str, rate: f64, duration: Duration) -> LoadResult {
     let requests = (0u32..)
         .map(|number| f64::from(number) / rate)
         .map(Duration::from_secs_f64);
@@ -90,29 +91,29 @@
         .take_while(|due| *due < duration)
         .map(|due| async move {
             actix_rt::time::sleep_until((start + due).into()).await;
-            let began = Instant::now();
+            let started = Instant::now();
             let answer = bench
                 .complete("ikeja-1", organisation, common::question("small"))
                 .await;
-            (answer, began.elapsed())
+            (answer, started.elapsed())
         });
-    let mut tally = Tally::default();
+    let mut result = LoadResult::default();
     for (answer, took) in futures::future::join_all(sent).await {
         if answer.status == 200 {
-            tally.good += 1;
+            result.good += 1;
             continue;
         }
-        tally.refused += 1;
-        tally.slowest_refusal = tally.slowest_refusal.max(took);
-        let told = answer.outcome() == "not-run" && !answer.header("retry-after").is_empty();
-        tally.untold += usize::from(!told);
+        result.refused += 1;
+        result.slowest_refusal = result.slowest_refusal.max(took);
+        let explained = answer.outcome() == "not-run" && !answer.header("retry-after").is_empty();
+        result.unexplained += usize::from(!explained);
     }
-    tally
+    result
 }
 
-fn slow_models(bench: &Bench) {
+fn slow_down_models(bench: &Bench) {
     let slow = Behaviour {
-        first_token_ms: TAKES_MS,
+        first_token_ms: ANSWER_MS,
         token_ms: 0,
         ..Behaviour::default()
     };
@@ -123,28 +124,28 @@
 }
 
 cases! {
-    refusals_come_at_once_and_goodput_stays_at_three_times_capacity => async {
-        let bench = Bench::start(small_pool()).await;
-        slow_models(&bench);
-        // 16 at a time of 100 ms each, of which nine tenths are lent out.
-        let capacity = (2 * UPSTREAM_LIMIT) as f64 * 1000.0 / TAKES_MS as f64 * 0.9;
+    refusals_are_immediate_and_goodput_is_stable_at_three_times_capacity => async {
+        let bench = Bench::start(small_plan()).await;
+        slow_down_models(&bench);
+        // 16 requests at a time of 100 ms each; nine tenths of the capacity may be lent out.
+        let capacity = (2 * UPSTREAM_LIMIT) as f64 * 1000.0 / ANSWER_MS as f64 * 0.9;
         let duration = Duration::from_secs(3);
-        let peak = load(&bench, "comics", capacity, duration).await;
-        let over = load(&bench, "comics", 3.0 * capacity, duration).await;
+        let peak = send_load(&bench, "comics", capacity, duration).await;
+        let over = send_load(&bench, "comics", 3.0 * capacity, duration).await;
         expect_that!(over.good as f64, gt(0.9 * peak.good as f64), "peak {}", peak.good);
         expect_that!(over.refused, gt(0));
-        expect_that!(over.untold, eq(0));
+        expect_that!(over.unexplained, eq(0));
         expect_that!(over.slowest_refusal, lt(Duration::from_millis(500)));
         let runs: usize = bench.version_runs().values().sum();
-        expect_that!(runs, eq(peak.good + over.good), "nothing ran that was refused");
+        expect_that!(runs, eq(peak.good + over.good), "refused requests do not run");
     };
 
-    flood_of_one_organisation_leaves_the_other_its_share => async {
-        let bench = Bench::start(small_pool()).await;
-        slow_models(&bench);
+    flood_from_one_organisation_leaves_the_other_its_share => async {
+        let bench = Bench::start(small_plan()).await;
+        slow_down_models(&bench);
         let duration = Duration::from_secs(3);
-        let flood = load(&bench, "comics", 600.0, duration);
-        let modest = load(&bench, "tales", 20.0, duration);
+        let flood = send_load(&bench, "comics", 600.0, duration);
+        let modest = send_load(&bench, "tales", 20.0, duration);
         let (flood, modest) = futures::join!(flood, modest);
         expect_that!(modest.good, ge(57), "of 60, refused {}", modest.refused);
         expect_that!(flood.refused, gt(0));
