--- a/src/lab/server.rs
+++ b/src/lab/server.rs
@@ -64,7 +64,7 @@
     mut req: Request,
 ) -> std::result::Result<Response<BoxBody>, Infallible> {
     let mut payload = req.take_payload();
-    let body = crate::router::read_whole(&mut payload, BODY_LIMIT, READ_TIMEOUT).await;
+    let body = crate::router::read_full_body(&mut payload, BODY_LIMIT, READ_TIMEOUT).await;
     Ok(match body {
         Ok(body) => stand_in.answer(req, body).await,
         Err(err) => text(StatusCode::BAD_REQUEST, &err.to_string()),
--- a/src/router.rs
+++ b/src/router.rs
@@ -35,7 +35,7 @@
 use crate::settings::router::RouterSettings;
 use crate::wire::tls::FleetTls;
 use arc_swap::ArcSwap;
-pub use body::read_whole;
+pub use body::read_full_body;
 use connection_stats::describe_counts;
 use context::RouterShared;
 use std::sync::Arc;
--- a/src/router/body.rs
+++ b/src/router/body.rs
@@ -40,7 +40,7 @@
 impl std::error::Error for BodyError {}
 
 /// Reads a complete body within a size limit and a time limit.
-pub async fn read_whole<S>(
+pub async fn read_full_body<S>(
     body: &mut S,
     max_bytes: usize,
     time_limit: Duration,
--- a/src/router/claimed_request.rs
+++ b/src/router/claimed_request.rs
@@ -1,7 +1,7 @@
 //! Requests that may not be repeated: claimed first, sent once, and answered again from the saved
 //! response.
 
-use super::body::{BodyError, RESPONSE_MAX_BYTES, UpstreamResponse, read_whole};
+use super::body::{BodyError, RESPONSE_MAX_BYTES, UpstreamResponse, read_full_body};
 use super::context::{Caller, Worker, refuse};
 use super::crash_guard::CrashGuard;
 use super::dispatch::dispatch;
@@ -186,7 +186,7 @@
         } = response;
         let mut res = response_head(&self.caller, &response);
         let remaining_time = self.caller.remaining_time(Now::read());
-        let body = match read_whole(&mut response, RESPONSE_MAX_BYTES, remaining_time).await {
+        let body = match read_full_body(&mut response, RESPONSE_MAX_BYTES, remaining_time).await {
             Ok(body) => body,
             Err(err) => {
                 upstream.load.failed(started, Now::read());
@@ -227,7 +227,7 @@
 async fn read_body(worker: &Worker, caller: &Caller, req: &mut Request) -> Result<Bytes, Refused> {
     let remaining_time = caller.remaining_time(Now::read());
     let limit = worker.shared.settings.body_limit;
-    read_whole(&mut req.take_payload(), limit, remaining_time)
+    read_full_body(&mut req.take_payload(), limit, remaining_time)
         .await
         .map_err(|err| {
             let reason = match err {
--- a/src/router/completions.rs
+++ b/src/router/completions.rs
@@ -1,7 +1,7 @@
 //! Serves the completions API: from a caller's request to the response of a model version.
 
 use super::billing::{Cost, record_bill};
-use super::body::{BodyError, BodySender, channel_body, read_whole};
+use super::body::{BodyError, BodySender, channel_body, read_full_body};
 use super::cascade_step::{CascadeStep, StepAnswer, run_step};
 use super::context::{Caller, Worker, refuse};
 use super::crash_guard::CrashGuard;
@@ -97,7 +97,7 @@
 ) -> Result<CompletionRequest, Refused> {
     let not_run = |reason, message: String| refuse(Outcome::NotRun, reason, message);
     let remaining_time = caller.remaining_time(Now::read());
-    let body = read_whole(
+    let body = read_full_body(
         &mut req.take_payload(),
         worker.shared.settings.body_limit,
         remaining_time,
@@ -394,7 +394,7 @@
     mut answer: StepAnswer,
 ) -> Result<(VersionName, CompleteAnswer), Refused> {
     let remaining_time = caller.remaining_time(Now::read());
-    let rest = read_whole(
+    let rest = read_full_body(
         &mut answer.response,
         super::body::RESPONSE_MAX_BYTES,
         remaining_time,
