--- a/src/agent.rs
+++ b/src/agent.rs
@@ -16,17 +16,17 @@
 pub mod shared;
 mod telemetry;
 
+use crate::box_list::ListClient;
 use crate::claim::message::Owed;
 use crate::claim::replica::Replica;
 use crate::claim::view::{Member, ShardId};
 use crate::clock::Now;
+use crate::decision_record::RecordRing;
 use crate::error::{Error, Result};
-use crate::guard::Guard;
-use crate::live::ListClient;
-use crate::record::RecordRing;
 use crate::settings::agent::AgentSettings;
 use crate::store::Store;
 use crate::store::etcd::EtcdStore;
+use crate::version_guard::VersionGuard;
 use crate::wire::message::{AgentStatus, ControlRequest, ControlResponse, Report, Update};
 use crate::wire::server::{Handler, serve};
 use crate::wire::tls::FleetTls;
@@ -62,7 +62,7 @@
     written_segment: RefCell<Option<drain::OpenSegment>>,
     followers: RefCell<Vec<mpsc::Sender<Update>>>,
     records: RefCell<RecordRing>,
-    guard: RefCell<Guard>,
+    guard: RefCell<VersionGuard>,
     stopping: Cell<bool>,
     comparing: RefCell<BTreeSet<std::net::SocketAddr>>,
 }
@@ -76,7 +76,7 @@
             box_name: settings.identity.name.clone(),
             incarnation: now.wall.0,
         };
-        let guard = Guard::new(settings.guard);
+        let guard = VersionGuard::new(settings.guard);
         Ok(Rc::new(Self {
             me,
             store: Box::new(EtcdStore::new(settings.store)),
--- a/src/agent/crashes.rs
+++ b/src/agent/crashes.rs
@@ -13,7 +13,7 @@
     let mut shared = agent.shared.borrow_mut();
     let news: Vec<CrashRecord> = records
         .into_iter()
-        .filter(|record| shared.crashes.take(record, now))
+        .filter(|record| shared.crashes.merge_record(record, now))
         .collect();
     drop(shared);
     if news.is_empty() {
--- a/src/agent/drain.rs
+++ b/src/agent/drain.rs
@@ -2,10 +2,10 @@
 
 use super::Agent;
 use super::claims;
+use crate::billing_ledger::{MAX_SEGMENT_BILLS, Segment};
+use crate::box_list::AGENT_SERVICE;
 use crate::claim::message::{Owed, ReplicaMessage};
 use crate::claim::{Bill, ClaimKey};
-use crate::ledger::{SEGMENT_BILLS, Segment};
-use crate::live::AGENT_SERVICE;
 use crate::store::layout::segment_key;
 use crate::store::{StoreResult, WriteOutcome, create_settled};
 use crate::wire::message::ControlRequest;
@@ -69,13 +69,13 @@
     let replicas = agent.replicas.borrow();
     let mut bills: Vec<Bill> = Vec::new();
     for replica in replicas.values() {
-        bills.extend(replica.undrained(SEGMENT_BILLS.saturating_sub(bills.len())));
+        bills.extend(replica.undrained(MAX_SEGMENT_BILLS.saturating_sub(bills.len())));
     }
     let unplaced = agent.unplaced.borrow();
     let own = unplaced
         .iter()
         .filter_map(|unplaced| unplaced.finish.bill.clone());
-    bills.extend(own.take(SEGMENT_BILLS));
+    bills.extend(own.take(MAX_SEGMENT_BILLS));
     bills
 }
 
--- a/src/agent/follow.rs
+++ b/src/agent/follow.rs
@@ -8,7 +8,7 @@
 use super::gossip;
 use super::shared::Applied;
 use crate::change::{Generation, SignedEntry};
-use crate::change_log::{raise_head, read_bundle, read_entry, read_head};
+use crate::change_log::{advance_head, read_bundle, read_entry, read_head};
 use crate::clock::Now;
 use crate::evidence::Suspension;
 use crate::store::StoreResult;
@@ -69,7 +69,7 @@
     look_back(agent, head).await?;
     let newest = agent.shared.borrow().generation();
     if newest > head {
-        raise_head(store, partner, newest).await?;
+        advance_head(store, partner, newest).await?;
     }
     read_suspensions(agent).await?;
     Ok(revision)
@@ -196,7 +196,7 @@
 }
 
 /// Takes a list if it is newer, and passes it on.
-pub fn take_list(agent: &Rc<Agent>, list: crate::live::LiveList) {
+pub fn take_list(agent: &Rc<Agent>, list: crate::box_list::BoxList) {
     if !agent.shared.borrow_mut().merge_list(list) {
         return;
     }
--- a/src/agent/guarding.rs
+++ b/src/agent/guarding.rs
@@ -4,10 +4,10 @@
 use super::follow::take_suspensions;
 use crate::clock::Now;
 use crate::evidence::Suspension;
-use crate::guard::Alarm;
 use crate::name::VersionName;
 use crate::store::layout::suspension_key;
 use crate::store::{Condition, StoreResult, Versioned, WriteOutcome};
+use crate::version_guard::Alarm;
 use crate::wire::message::Update;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -41,7 +41,7 @@
     let lifted = agent.shared.borrow().lifted();
     let sums = agent.shared.borrow().evidence.by_version(&lifted);
     let mut guard = agent.guard.borrow_mut();
-    guard.follow_lifts(&lifted);
+    guard.reset_lifted(&lifted);
     let mut suspended = Vec::new();
     for (version, counts) in &sums {
         let Some(alarm) = guard.observe(version, counts) else {
--- a/src/agent/placement.rs
+++ b/src/agent/placement.rs
@@ -3,13 +3,13 @@
 //! Every agent works this out alone from the live list and from whom it hears, by
 //! rendezvous hashing, so that agents with the same knowledge agree without talking.
 
+use crate::box_list::{AGENT_SERVICE, BoxList, BoxState, ListedBox};
 use crate::claim::view::{Member, ShardId};
-use crate::live::{AGENT_SERVICE, BoxState, ListedBox, LiveList};
 use std::cmp::Reverse;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Returns the agents of a list in the order in which they are preferred for a duty.
-pub fn preferred<'a>(list: &'a LiveList, duty: &str, hall: Option<&str>) -> Vec<&'a ListedBox> {
+pub fn preferred<'a>(list: &'a BoxList, duty: &str, hall: Option<&str>) -> Vec<&'a ListedBox> {
     let wanted = |listed: &&ListedBox| {
         listed.state == BoxState::Live && hall.is_none_or(|hall| listed.hall == hall)
     };
@@ -27,7 +27,7 @@
 pub const WATCHED_HUBS: usize = 3;
 
 /// Returns the agents of a hall in the order in which they are to call the store.
-pub fn hub_order<'a>(list: &'a LiveList, hall: &str) -> Vec<&'a ListedBox> {
+pub fn hub_order<'a>(list: &'a BoxList, hall: &str) -> Vec<&'a ListedBox> {
     const HUB_DUTY: &str = "hub";
     preferred(list, HUB_DUTY, Some(hall))
 }
@@ -37,7 +37,7 @@
 /// `is_silent` is asked about the agents before it. The first few hear each other twice
 /// a second, all others only now and then, so `is_near` tells it which patience to have.
 pub fn is_hub(
-    list: &LiveList,
+    list: &BoxList,
     hall: &str,
     me: &str,
     is_silent: impl Fn(&str, bool) -> bool,
@@ -54,7 +54,7 @@
 
 /// Tells whether a box is the first in a hall for a duty, among those that are not silent.
 pub fn is_first(
-    list: &LiveList,
+    list: &BoxList,
     duty: &str,
     hall: &str,
     me: &str,
@@ -69,7 +69,7 @@
 /// Returns the agent that should witness a shard: of the shard's hall if one is there,
 /// else of any hall.
 pub fn choose_witness(
-    list: &LiveList,
+    list: &BoxList,
     shard: &ShardId,
     excluded: &[&str],
     heard_lately: impl Fn(&str) -> Option<Member>,
--- a/src/agent/shards.rs
+++ b/src/agent/shards.rs
@@ -91,7 +91,7 @@
     };
     let duty = shard.to_string();
     let silent = |name: &str| agent.peers.is_box_silent(name, now);
-    list.holds(&agent.me.box_name)
+    list.contains(&agent.me.box_name)
         && !agent.stopping.get()
         && is_first(list, &duty, &shard.hall, &agent.me.box_name, silent)
 }
@@ -100,7 +100,7 @@
 fn members_with_me(agent: &Agent, shard: &ShardId, avoided: &[&str], now: Now) -> Option<Members> {
     let shared = agent.shared.borrow();
     let list = shared.list()?;
-    if !list.holds(&agent.me.box_name) {
+    if !list.contains(&agent.me.box_name) {
         return None;
     }
     let mut excluded = avoided.to_vec();
@@ -309,7 +309,7 @@
     let shared = agent.shared.borrow();
     shared
         .list()
-        .is_some_and(|list| list.revision >= view.list_revision && !list.holds(&member.box_name))
+        .is_some_and(|list| list.revision >= view.list_revision && !list.contains(&member.box_name))
 }
 
 /// Tells whether all who held a shard's table are proved to be gone.
--- a/src/agent/shared.rs
+++ b/src/agent/shared.rs
@@ -1,11 +1,11 @@
 //! What an agent has heard, merged so that order, repetition and delay do not matter.
 
+use crate::box_list::BoxList;
 use crate::change::{ChangeEntry, Generation, SignedEntry, supersedes};
 use crate::claim::view::{Member, ShardId, View};
 use crate::clock::{Now, WallTime};
 use crate::crash_ledger::{CrashLedger, CrashRecord};
 use crate::evidence::{Evidence, Suspension};
-use crate::live::LiveList;
 use crate::name::VersionName;
 use crate::wire::message::{Newer, Summary};
 use serde::Serialize;
@@ -33,7 +33,7 @@
 #[derive(Debug, Default)]
 pub struct Shared {
     applied: Option<Applied>,
-    list: Option<LiveList>,
+    list: Option<BoxList>,
     views: BTreeMap<ShardId, View>,
     suspensions: BTreeMap<VersionName, Suspension>,
     /// The counts of all routers.
@@ -67,12 +67,12 @@
     }
 
     /// Returns the live list.
-    pub fn list(&self) -> Option<&LiveList> {
+    pub fn list(&self) -> Option<&BoxList> {
         self.list.as_ref()
     }
 
     /// Takes a list if it is newer.
-    pub fn merge_list(&mut self, list: LiveList) -> bool {
+    pub fn merge_list(&mut self, list: BoxList) -> bool {
         if self
             .list
             .as_ref()
@@ -182,7 +182,7 @@
 
     /// Returns what others are told of crashes.
     pub fn crash_records(&self, now: Now) -> Vec<CrashRecord> {
-        self.crashes.most_telling(CRASH_RECORDS_PER_MESSAGE, now)
+        self.crashes.top_records(CRASH_RECORDS_PER_MESSAGE, now)
     }
 
     /// Returns what is known here and not to a peer that sent its summary.
--- a/src/ledger.rs
+++ b/src/billing_ledger.rs
@@ -9,7 +9,7 @@
 const PAGE: usize = 200;
 
 /// The greatest number of bills in one segment.
-pub const SEGMENT_BILLS: usize = 1000;
+pub const MAX_SEGMENT_BILLS: usize = 1000;
 
 /// Bills that were written together.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
--- a/src/live.rs
+++ b/src/box_list.rs
@@ -16,7 +16,7 @@
 
 /// The list, as the platform gave it at one revision.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct LiveList {
+pub struct BoxList {
     /// The list's revision; a higher one is newer.
     pub revision: u64,
     /// The boxes.
@@ -71,7 +71,7 @@
     }
 }
 
-impl LiveList {
+impl BoxList {
     /// Returns the boxes of a service.
     pub fn of_service<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a ListedBox> {
         self.boxes
@@ -80,7 +80,7 @@
     }
 
     /// Tells whether the list holds a box by this name.
-    pub fn holds(&self, name: &str) -> bool {
+    pub fn contains(&self, name: &str) -> bool {
         self.boxes.iter().any(|listed| listed.name == name)
     }
 }
@@ -109,7 +109,7 @@
     }
 
     /// Reads the list.
-    pub async fn fetch(&self) -> Result<LiveList, String> {
+    pub async fn fetch(&self) -> Result<BoxList, String> {
         let url = format!("http://{}/v1/boxes", self.address);
         let request = self.client.get(url).timeout(LIST_TIMEOUT);
         let mut res = request.send().await.map_err(|err| err.to_string())?;
--- a/src/bundle.rs
+++ b/src/bundle.rs
@@ -14,7 +14,7 @@
 use std::path::Path;
 
 /// The greatest size of a bundle's text in bytes; the store holds values up to a megabyte.
-pub const BUNDLE_BYTES_LIMIT: usize = 512 * 1024;
+pub const MAX_BUNDLE_BYTES: usize = 512 * 1024;
 
 const NAME_EXPECTED: &str = "a name of letters, digits, `-`, `_` and `.`";
 const VERSION_EXPECTED: &str = "a version written as model/version";
@@ -66,7 +66,7 @@
 
 /// When a cascade decides whether a cheap answer is good enough.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Gate {
+pub enum QualityGate {
     /// The cheap answer is held until it has been rated.
     Inline,
     /// The answer streams at once; sampled ratings teach where to begin.
@@ -79,7 +79,7 @@
     /// The models, cheapest first.
     pub steps: Vec<String>,
     /// When the cascade decides.
-    pub gate: Gate,
+    pub gate: QualityGate,
     /// The fraction of answers that has to be good.
     pub quality: f64,
     /// The step to begin with where nothing was learned, counted from zero.
@@ -123,8 +123,8 @@
 
     fn check(document: &Document) -> Result<Self> {
         document.read(|root| {
-            if document.text().len() > BUNDLE_BYTES_LIMIT {
-                let message = format!("a bundle may have {BUNDLE_BYTES_LIMIT} bytes at the most");
+            if document.text().len() > MAX_BUNDLE_BYTES {
+                let message = format!("a bundle may have {MAX_BUNDLE_BYTES} bytes at the most");
                 document.add(0, message);
             }
             let partner = root.parsed("partner", NAME_EXPECTED, plain_name);
@@ -219,8 +219,8 @@
         section.fault("steps", "a cascade needs one step at the least");
     }
     let gate = section.parsed("gate", "`inline` or `learn`", |text| match text {
-        "inline" => Some(Gate::Inline),
-        "learn" => Some(Gate::Learn),
+        "inline" => Some(QualityGate::Inline),
+        "learn" => Some(QualityGate::Learn),
         _ => None,
     });
     let quality = section.fraction("quality", DEFAULT_QUALITY_PERCENT);
--- a/src/change.rs
+++ b/src/change.rs
@@ -36,7 +36,7 @@
 }
 
 /// The public keys of a partner's operators, by operator.
-pub type Operators = BTreeMap<String, PublicKey>;
+pub type OperatorKeys = BTreeMap<String, PublicKey>;
 
 /// What an operator asks for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -171,15 +171,15 @@
     }
 
     /// Reads the entry without checking it, for reports only.
-    pub fn peek(&self) -> Result<ChangeEntry> {
+    pub fn parse_unverified(&self) -> Result<ChangeEntry> {
         serde_json::from_str(&self.entry)
             .map_err(|err| Error::Refused(format!("the log holds an unreadable entry: {err}")))
     }
 
     /// Returns the entry if a known operator of the partner signed it and its bundle
     /// was signed off by a second one.
-    pub fn verify(&self, partner: &str, operators: &Operators) -> Result<ChangeEntry> {
-        let entry = self.peek()?;
+    pub fn verify(&self, partner: &str, operators: &OperatorKeys) -> Result<ChangeEntry> {
+        let entry = self.parse_unverified()?;
         if entry.partner != partner {
             return Err(Error::Refused(format!(
                 "the entry belongs to `{}`",
@@ -200,7 +200,7 @@
     }
 }
 
-fn verify_approval(approval: &Approval, operators: &Operators) -> Result<()> {
+fn verify_approval(approval: &Approval, operators: &OperatorKeys) -> Result<()> {
     let signed = |operator: &String, signature: &str| {
         let key = operators.get(operator);
         key.is_some_and(|key| key.verifies(approval.digest.as_bytes(), signature))
--- a/src/change_log.rs
+++ b/src/change_log.rs
@@ -2,7 +2,7 @@
 
 use crate::bundle::Bundle;
 use crate::change::{
-    Action, ChangeEntry, ControlState, Generation, Operators, SignedEntry, next_state,
+    Action, ChangeEntry, ControlState, Generation, OperatorKeys, SignedEntry, next_state,
 };
 use crate::clock::Now;
 use crate::error::{Error, Result};
@@ -17,12 +17,12 @@
 pub struct ChangeLog<'a> {
     store: &'a dyn Store,
     partner: &'a str,
-    operators: &'a Operators,
+    operators: &'a OperatorKeys,
 }
 
 impl<'a> ChangeLog<'a> {
     /// Makes a view of a partner's log.
-    pub fn new(store: &'a dyn Store, partner: &'a str, operators: &'a Operators) -> Self {
+    pub fn new(store: &'a dyn Store, partner: &'a str, operators: &'a OperatorKeys) -> Self {
         Self {
             store,
             partner,
@@ -95,7 +95,7 @@
             state: next,
         };
         self.create(&entry, key).await?;
-        if let Err(err) = raise_head(self.store, self.partner, generation).await {
+        if let Err(err) = advance_head(self.store, self.partner, generation).await {
             log::warn!("the head was not raised, agents find the entry all the same: {err}");
         }
         Ok(entry)
@@ -169,7 +169,7 @@
 fn came_between(generation: Generation, found: Option<crate::store::Versioned>) -> Error {
     let other = found
         .and_then(|found| serde_json::from_slice::<SignedEntry>(&found.value).ok())
-        .and_then(|signed| signed.peek().ok());
+        .and_then(|signed| signed.parse_unverified().ok());
     let whose = other.map_or_else(
         || "another change".to_owned(),
         |entry| format!("`{}` by {} at {}", entry.action, entry.operator, entry.at),
@@ -193,7 +193,7 @@
 }
 
 /// Raises the hint, unless it is as high already.
-pub async fn raise_head(
+pub async fn advance_head(
     store: &dyn Store,
     partner: &str,
     generation: Generation,
--- a/src/crash_ledger.rs
+++ b/src/crash_ledger.rs
@@ -22,18 +22,18 @@
 /// replaced by then.
 const REMEMBERED_FOR: Duration = Duration::from_secs(600);
 /// The most requests that are remembered.
-pub const MOST_REQUESTS: usize = 4096;
+pub const MAX_TRACKED_REQUESTS: usize = 4096;
 /// The most crashes that are remembered of one request.
 const MOST_CRASHES: usize = 16;
 
 /// One life of an upstream, by the hash that boxes name it by to each other.
-pub type LifeHash = u32;
+pub type IncarnationHash = u32;
 
 /// A request's part in one crash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Part {
+pub enum CrashRole {
     /// It ran beside others.
-    Present,
+    Concurrent,
     /// It was on trial there.
     OnTrial,
     /// It has been answered since, at another upstream.
@@ -46,14 +46,14 @@
     /// The request.
     pub request: Fingerprint,
     /// Its part in each crash, by the life of the upstream that ended.
-    pub crashes: Vec<(LifeHash, Part)>,
+    pub crashes: Vec<(IncarnationHash, CrashRole)>,
     /// How many milliseconds ago the newest crash was.
     pub age_ms: u64,
 }
 
 /// What a connection to an upstream tells after runs there broke off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AfterBreak {
+pub enum CrashCheckResult {
     /// The address refuses connections, so the process is gone.
     Crashed,
     /// It takes connections: only connections were lost.
@@ -62,9 +62,9 @@
     Unreachable,
 }
 
-impl AfterBreak {
+impl CrashCheckResult {
     /// Tells what the outcome of opening a connection means.
-    pub fn by<T>(opened: &io::Result<T>) -> Self {
+    pub fn from_connect_result<T>(opened: &io::Result<T>) -> Self {
         match opened {
             Ok(_) => Self::Alive,
             Err(err) if err.kind() == io::ErrorKind::ConnectionRefused => Self::Crashed,
@@ -75,7 +75,7 @@
 
 /// What may be done with a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum QuarantineState {
     /// It may be sent like any other.
     Clear,
     /// It may be sent once, with nothing else of its kind under way.
@@ -86,7 +86,7 @@
     Quarantined,
 }
 
-impl Standing {
+impl QuarantineState {
     /// Says for the log what may be done with a request.
     pub fn describe(self) -> &'static str {
         match self {
@@ -107,19 +107,22 @@
 
 #[derive(Debug, Clone, Default)]
 struct Suspect {
-    crashes: BTreeMap<LifeHash, Part>,
+    crashes: BTreeMap<IncarnationHash, CrashRole>,
     newest: Duration,
 }
 
 impl Suspect {
     /// Returns the number of crashes for which the request may be the cause.
     fn count(&self) -> usize {
-        let counted = self.crashes.values().filter(|part| **part != Part::Cleared);
+        let counted = self
+            .crashes
+            .values()
+            .filter(|part| **part != CrashRole::Cleared);
         counted.count()
     }
 
     /// Adds a part; the later of two parts in the same crash holds.
-    fn add(&mut self, life: LifeHash, part: Part) -> bool {
+    fn add(&mut self, life: IncarnationHash, part: CrashRole) -> bool {
         if self.crashes.len() >= MOST_CRASHES && !self.crashes.contains_key(&life) {
             return false;
         }
@@ -146,11 +149,11 @@
 
 impl CrashLedger {
     /// Records a request that ran at an upstream when that crashed; returns what is to be told.
-    pub fn crashed(
+    pub fn add_crash(
         &mut self,
-        life: LifeHash,
+        life: IncarnationHash,
         request: Fingerprint,
-        part: Part,
+        part: CrashRole,
         now: Now,
     ) -> CrashRecord {
         self.make_room(now);
@@ -161,20 +164,20 @@
     }
 
     /// Records that a request was answered whole; returns what is to be told, if it was at crashes.
-    pub fn answered(&mut self, request: Fingerprint, now: Now) -> Option<CrashRecord> {
+    pub fn add_answer(&mut self, request: Fingerprint, now: Now) -> Option<CrashRecord> {
         self.trials.remove(&request);
         let suspect = self.requests.get_mut(&request)?;
         if suspect.count() == 0 {
             return None;
         }
         for part in suspect.crashes.values_mut() {
-            *part = Part::Cleared;
+            *part = CrashRole::Cleared;
         }
         Some(suspect.record(request, now))
     }
 
     /// Takes what another box knows of a request; tells whether any of it was new.
-    pub fn take(&mut self, record: &CrashRecord, now: Now) -> bool {
+    pub fn merge_record(&mut self, record: &CrashRecord, now: Now) -> bool {
         let age = Duration::from_millis(record.age_ms);
         if age >= REMEMBERED_FOR {
             return false;
@@ -204,24 +207,24 @@
     }
 
     /// Returns what may be done with a request.
-    pub fn standing(&self, request: Fingerprint, now: Now) -> Standing {
+    pub fn quarantine_state(&self, request: Fingerprint, now: Now) -> QuarantineState {
         let known = self.requests.get(&request);
         let Some(suspect) = known.filter(|suspect| is_remembered(suspect, now)) else {
-            return Standing::Clear;
+            return QuarantineState::Clear;
         };
         if suspect.count() < SUSPECT_CRASHES {
-            return Standing::Clear;
+            return QuarantineState::Clear;
         }
         if suspect.count() > SUSPECT_CRASHES && self.failed_alone(request, suspect) {
-            return Standing::Quarantined;
+            return QuarantineState::Quarantined;
         }
         let left = self
             .trials
             .get(&request)
             .map(|until| until.saturating_sub(now.monotonic));
         match left {
-            Some(left) if !left.is_zero() => Standing::OnTrial(left),
-            _ => Standing::Suspect,
+            Some(left) if !left.is_zero() => QuarantineState::OnTrial(left),
+            _ => QuarantineState::Suspect,
         }
     }
 
@@ -231,17 +234,17 @@
         let mut trials = suspect
             .crashes
             .iter()
-            .filter(|(_, part)| **part == Part::OnTrial);
+            .filter(|(_, part)| **part == CrashRole::OnTrial);
         trials.any(|(life, _)| {
             let is_other = |(other, known): (&Fingerprint, &Suspect)| {
-                *other != request && known.crashes.get(life) == Some(&Part::OnTrial)
+                *other != request && known.crashes.get(life) == Some(&CrashRole::OnTrial)
             };
             !self.requests.iter().any(is_other)
         })
     }
 
     /// Returns what has to reach every box: the requests that are suspects or were cleared of it.
-    pub fn to_tell(&self, now: Now) -> Vec<CrashRecord> {
+    pub fn records_for_all_boxes(&self, now: Now) -> Vec<CrashRecord> {
         let told = self.requests.iter().filter(|(_, suspect)| {
             suspect.crashes.len() >= SUSPECT_CRASHES && is_remembered(suspect, now)
         });
@@ -253,7 +256,7 @@
     }
 
     /// Returns at most so many records: suspects first, then those of the newest crashes.
-    pub fn most_telling(&self, most: usize, now: Now) -> Vec<CrashRecord> {
+    pub fn top_records(&self, most: usize, now: Now) -> Vec<CrashRecord> {
         let known = self.requests.iter();
         let mut told: Vec<(&Fingerprint, &Suspect)> = known
             .filter(|(_, suspect)| is_remembered(suspect, now))
@@ -280,13 +283,13 @@
     /// Keeps room for one more request: old ones go, then those that were at the fewest crashes,
     /// of these the oldest.
     fn make_room(&mut self, now: Now) {
-        if self.requests.len() < MOST_REQUESTS {
+        if self.requests.len() < MAX_TRACKED_REQUESTS {
             return;
         }
         self.requests
             .retain(|_, suspect| is_remembered(suspect, now));
         self.trials.retain(|_, until| *until > now.monotonic);
-        if self.requests.len() < MOST_REQUESTS {
+        if self.requests.len() < MAX_TRACKED_REQUESTS {
             return;
         }
         let mut ranked: Vec<(usize, Duration, Fingerprint)> = self
@@ -296,7 +299,7 @@
             .collect();
         ranked.sort_unstable();
         // An eighth at a time, so that a flood does not sort them for each request.
-        for (_, _, request) in ranked.into_iter().take(MOST_REQUESTS / 8) {
+        for (_, _, request) in ranked.into_iter().take(MAX_TRACKED_REQUESTS / 8) {
             self.requests.remove(&request);
         }
     }
--- a/src/demo/checks.rs
+++ b/src/demo/checks.rs
@@ -2,10 +2,10 @@
 
 use super::requests::{Kind, Sent};
 use super::stage::{Partner, Stage};
+use crate::billing_ledger::read_ledger;
 use crate::claim::Bill;
 use crate::error::Result;
 use crate::lab::model::Run;
-use crate::ledger::read_ledger;
 use crate::store::etcd::EtcdStore;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/demo/stage.rs
+++ b/src/demo/stage.rs
@@ -1,6 +1,7 @@
 //! The demo's processes, as threads, and the stand-ins around them.
 
 use crate::agent::Agent;
+use crate::box_list::{AGENT_SERVICE, ListedBox};
 use crate::clock::{Now, WallTime};
 use crate::error::{Error, Result};
 use crate::lab::fleet::{Fleet, FleetBox, FleetPlan, Wiring};
@@ -10,7 +11,6 @@
 use crate::lab::server;
 use crate::lab::service::ServiceStandIn;
 use crate::lab::store::StoreStandIn;
-use crate::live::{AGENT_SERVICE, ListedBox};
 use crate::name::VersionName;
 use crate::settings::agent::AgentSettings;
 use crate::settings::router::RouterSettings;
--- a/src/error.rs
+++ b/src/error.rs
@@ -14,7 +14,7 @@
 pub const EXIT_FAULTY_INPUT: i32 = 2;
 /// Exit code of a command whose outcome is not known, because the store's
 /// answer was lost and could not be read back.
-pub const EXIT_UNKNOWN: i32 = 3;
+pub const EXIT_OUTCOME_UNKNOWN: i32 = 3;
 
 /// One fault in a file, with its place, so that all faults can be reported together.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -73,7 +73,7 @@
     pub fn exit_code(&self) -> i32 {
         match self {
             Self::Faulty(_) | Self::Usage(_) | Self::Key(_) => EXIT_FAULTY_INPUT,
-            Self::OutcomeUnknown(_) => EXIT_UNKNOWN,
+            Self::OutcomeUnknown(_) => EXIT_OUTCOME_UNKNOWN,
             Self::File(..) | Self::Unreachable(_) | Self::Refused(_) => EXIT_FAILED,
         }
     }
--- a/src/evidence.rs
+++ b/src/evidence.rs
@@ -12,7 +12,7 @@
 
 /// Counts of one version's answers. Each only grows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Counts {
+pub struct AnswerCounts {
     /// Answers given, whole or not.
     pub served: u64,
     /// Answers that the upstream failed to give.
@@ -23,7 +23,7 @@
     pub bad: u64,
 }
 
-impl Counts {
+impl AnswerCounts {
     /// Takes the greater of each count.
     pub fn merge(&mut self, other: &Self) {
         self.served = self.served.max(other.served);
@@ -53,7 +53,7 @@
 
 /// What a count is about.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Subject {
+pub struct EvidenceSubject {
     /// The version.
     pub version: VersionName,
     /// The organisation.
@@ -69,15 +69,15 @@
     /// The router's box with the router's start, so that a new life counts anew.
     pub reporter: String,
     /// What the counts are about.
-    pub subject: Subject,
+    pub subject: EvidenceSubject,
     /// The counts.
-    pub counts: Counts,
+    pub counts: AnswerCounts,
 }
 
 /// The counts of all reporters.
 #[derive(Debug, Clone, Default)]
 pub struct Evidence {
-    cells: BTreeMap<(String, Subject), (Counts, u64)>,
+    cells: BTreeMap<(String, EvidenceSubject), (AnswerCounts, u64)>,
     version: u64,
 }
 
@@ -115,7 +115,10 @@
         changed.sort_by_key(|(_, (_, changed))| *changed);
         changed.truncate(limit);
         let next = changed.last().map_or(after, |(_, (_, changed))| *changed);
-        let cell = |((reporter, subject), (counts, _)): (&(String, Subject), &(Counts, u64))| {
+        let cell = |((reporter, subject), (counts, _)): (
+            &(String, EvidenceSubject),
+            &(AnswerCounts, u64),
+        )| {
             EvidenceCell {
                 reporter: reporter.clone(),
                 subject: subject.clone(),
@@ -133,8 +136,8 @@
     pub fn by_version(
         &self,
         lifted: &BTreeMap<VersionName, Generation>,
-    ) -> BTreeMap<VersionName, Counts> {
-        let mut sums: BTreeMap<VersionName, Counts> = BTreeMap::new();
+    ) -> BTreeMap<VersionName, AnswerCounts> {
+        let mut sums: BTreeMap<VersionName, AnswerCounts> = BTreeMap::new();
         for ((_, subject), (counts, _)) in &self.cells {
             let newest = lifted.get(&subject.version).copied().unwrap_or_default();
             if subject.lift == newest {
@@ -145,8 +148,8 @@
     }
 
     /// Returns the sums over all reporters, by subject.
-    pub fn by_subject(&self) -> BTreeMap<Subject, Counts> {
-        let mut sums: BTreeMap<Subject, Counts> = BTreeMap::new();
+    pub fn by_subject(&self) -> BTreeMap<EvidenceSubject, AnswerCounts> {
+        let mut sums: BTreeMap<EvidenceSubject, AnswerCounts> = BTreeMap::new();
         for ((_, subject), (counts, _)) in &self.cells {
             sums.entry(subject.clone()).or_default().add(counts);
         }
--- a/src/fingerprint.rs
+++ b/src/fingerprint.rs
@@ -14,7 +14,7 @@
 
 /// The parts of a request by which it is told from others.
 #[derive(Debug, Clone, Copy)]
-pub struct Identity<'a> {
+pub struct RequestIdentity<'a> {
     /// The organisation that sent it; none where no keys are asked for.
     pub caller: Option<&'a str>,
     /// The method.
@@ -29,7 +29,7 @@
 
 impl Fingerprint {
     /// Hashes what makes a request.
-    pub fn of(identity: Identity<'_>) -> Self {
+    pub fn of(identity: RequestIdentity<'_>) -> Self {
         let mut hash = Xxh3::new();
         let texts = [identity.method, identity.host, identity.target];
         let texts = texts.map(str::as_bytes);
--- a/src/gateway/admit/job.rs
+++ b/src/gateway/admit/job.rs
@@ -3,7 +3,7 @@
 use super::prompt::Prompt;
 use super::routes::{Organisation, Route};
 use crate::clock::Now;
-use crate::crash_ledger::{Part, Standing};
+use crate::crash_ledger::{CrashRole, QuarantineState};
 use crate::fingerprint::Fingerprint;
 use crate::gateway::Gateway;
 use crate::gateway::answer::refusal::Ran;
@@ -226,16 +226,18 @@
             gw.quarantine.standing(self.fingerprint, now),
             self.trial.get(),
         ) {
-            (Standing::Clear, _) => Ok(()),
-            (Standing::Quarantined, _) => Err(NoTry::Quarantined),
+            (QuarantineState::Clear, _) => Ok(()),
+            (QuarantineState::Quarantined, _) => Err(NoTry::Quarantined),
             // The trial is this request's own, and no upstream has run it yet.
-            (Standing::Suspect | Standing::OnTrial(_), Trial::Open) => Ok(()),
-            (Standing::Suspect, Trial::None | Trial::Over) => {
+            (QuarantineState::Suspect | QuarantineState::OnTrial(_), Trial::Open) => Ok(()),
+            (QuarantineState::Suspect, Trial::None | Trial::Over) => {
                 gw.quarantine.begin_trial(self.fingerprint, now);
                 self.trial.set(Trial::Open);
                 Ok(())
             }
-            (Standing::OnTrial(left), Trial::None | Trial::Over) => Err(NoTry::OnTrial(left)),
+            (QuarantineState::OnTrial(left), Trial::None | Trial::Over) => {
+                Err(NoTry::OnTrial(left))
+            }
         }
     }
 
@@ -247,8 +249,8 @@
     /// Records that a run of the request broke off, which ends its trial.
     pub fn broke_off(&self, gw: &Gateway, upstream: &Rc<Upstream>, now: Now) {
         let part = match self.is_on_trial() {
-            true => Part::OnTrial,
-            false => Part::Present,
+            true => CrashRole::OnTrial,
+            false => CrashRole::Concurrent,
         };
         let run = InterruptedRun {
             request: self.fingerprint,
--- a/src/gateway/admit/serve.rs
+++ b/src/gateway/admit/serve.rs
@@ -4,7 +4,7 @@
 use super::prompt::Prompt;
 use super::routes::{Caller, Route, RouteTable};
 use crate::clock::Now;
-use crate::fingerprint::{Fingerprint, Identity};
+use crate::fingerprint::{Fingerprint, RequestIdentity};
 use crate::gateway::answer::plain::{self, WholeAnswer};
 use crate::gateway::answer::refusal::{self, Ran, Why};
 use crate::gateway::answer::relay::Relay;
@@ -82,7 +82,7 @@
         .ok_or(Why::NoRoute)?
         .to_owned();
     let target = target_of(req);
-    let fingerprint = Fingerprint::of(Identity {
+    let fingerprint = Fingerprint::of(RequestIdentity {
         caller: organisation.as_ref().map(|found| found.name.as_str()),
         method: req.method().as_str(),
         host: host(req),
--- a/src/gateway/attempt/crash_detection.rs
+++ b/src/gateway/attempt/crash_detection.rs
@@ -6,7 +6,7 @@
 
 use super::upstream::Upstream;
 use crate::clock::Now;
-use crate::crash_ledger::{AfterBreak, Part};
+use crate::crash_ledger::{CrashCheckResult, CrashRole};
 use crate::fingerprint::Fingerprint;
 use crate::gateway::Gateway;
 use crate::gateway::control::store::UpstreamLife;
@@ -46,7 +46,7 @@
     /// The request.
     pub request: Fingerprint,
     /// Its part in the crash, if the upstream did crash.
-    pub part: Part,
+    pub part: CrashRole,
 }
 
 /// The work that is due: upstreams to check, and crashes to record.
@@ -104,17 +104,17 @@
     }
 
     /// Records the result of a check; returns the runs of the upstream if it has not crashed.
-    fn finish_check(&self, life: &UpstreamLife, found: AfterBreak) -> Vec<InterruptedRun> {
+    fn finish_check(&self, life: &UpstreamLife, found: CrashCheckResult) -> Vec<InterruptedRun> {
         let mut interrupted = self.interrupted.borrow_mut();
         match found {
-            AfterBreak::Crashed => {
+            CrashCheckResult::Crashed => {
                 if let Some(known) = interrupted.get_mut(life) {
                     known.state = CheckState::Crashed;
                 }
                 self.work_added.notify_one();
                 Vec::new()
             }
-            AfterBreak::Alive | AfterBreak::Unreachable => interrupted
+            CrashCheckResult::Alive | CrashCheckResult::Unreachable => interrupted
                 .remove(life)
                 .map_or_else(Vec::new, |known| known.runs),
         }
@@ -160,13 +160,13 @@
     sleep(CHECK_DELAY).await;
     let now = Now::read();
     let opened = gw.connections.open(&upstream, now).await;
-    let found = AfterBreak::by(&opened);
+    let found = CrashCheckResult::from_connect_result(&opened);
     if let Ok(connection) = opened {
         gw.connections.release(upstream.life(), connection, now);
     }
     gw.telemetry.checked_after_break(&upstream, found);
     for run in gw.crashes.finish_check(upstream.life(), found) {
-        if run.part == Part::OnTrial {
+        if run.part == CrashRole::OnTrial {
             gw.quarantine.end_trial(run.request, now);
         }
     }
--- a/src/gateway/attempt/quarantine.rs
+++ b/src/gateway/attempt/quarantine.rs
@@ -4,7 +4,7 @@
 //! The rules are in [`crate::crash_ledger`]; see `docs/design/quarantine.md`.
 
 use crate::clock::Now;
-use crate::crash_ledger::{CrashLedger, CrashRecord, LifeHash, Part, Standing};
+use crate::crash_ledger::{CrashLedger, CrashRecord, CrashRole, IncarnationHash, QuarantineState};
 use crate::fingerprint::Fingerprint;
 use crate::gateway::peers::outbox::Outbox;
 use serde::{Deserialize, Serialize};
@@ -32,14 +32,20 @@
 
 impl Quarantine {
     /// Returns whether a request may be sent.
-    pub fn standing(&self, request: Fingerprint, now: Now) -> Standing {
-        self.ledger.borrow().standing(request, now)
+    pub fn standing(&self, request: Fingerprint, now: Now) -> QuarantineState {
+        self.ledger.borrow().quarantine_state(request, now)
     }
 
     /// Records that a request ran at an upstream when that upstream crashed.
-    pub fn record_crash(&self, life: LifeHash, request: Fingerprint, part: Part, now: Now) {
+    pub fn record_crash(
+        &self,
+        life: IncarnationHash,
+        request: Fingerprint,
+        part: CrashRole,
+        now: Now,
+    ) {
         self.change(request, "crash", now, |ledger| {
-            let record = ledger.crashed(life, request, part, now);
+            let record = ledger.add_crash(life, request, part, now);
             Some(QuarantineUpdate::Records(vec![record]))
         });
     }
@@ -50,7 +56,7 @@
             return;
         }
         self.change(request, "answer", now, |ledger| {
-            let record = ledger.answered(request, now)?;
+            let record = ledger.add_answer(request, now)?;
             Some(QuarantineUpdate::Records(vec![record]))
         });
     }
@@ -77,7 +83,7 @@
             QuarantineUpdate::Records(records) => {
                 for record in records {
                     self.change(record.request, "box", now, |ledger| {
-                        ledger.take(&record, now);
+                        ledger.merge_record(&record, now);
                         None
                     });
                 }
@@ -93,7 +99,7 @@
 
     /// Returns the crash records that every box has to know.
     pub fn records_to_share(&self, now: Now) -> Vec<CrashRecord> {
-        self.ledger.borrow().to_tell(now)
+        self.ledger.borrow().records_for_all_boxes(now)
     }
 
     /// Changes the ledger, logs a change of what may be done with the request, and queues the
--- a/src/gateway/telemetry.rs
+++ b/src/gateway/telemetry.rs
@@ -11,7 +11,7 @@
 use super::peers::hub_poller::FetchError;
 use super::place::choose::PlacementChoice;
 use crate::clock::{Now, millis};
-use crate::crash_ledger::{AfterBreak, Part};
+use crate::crash_ledger::{CrashCheckResult, CrashRole};
 use crate::fingerprint::Fingerprint;
 use crate::metrics::Metrics;
 use opentelemetry::KeyValue;
@@ -159,15 +159,15 @@
     }
 
     /// Records what was found of an upstream where a run broke off.
-    pub fn checked_after_break(&self, upstream: &Upstream, found: AfterBreak) {
+    pub fn checked_after_break(&self, upstream: &Upstream, found: CrashCheckResult) {
         let instance = upstream.with_listed(|listed| listed.instance.clone());
         let upstream = instance.as_str();
         match found {
-            AfterBreak::Crashed => log::warn!(upstream; "the upstream has crashed"),
-            AfterBreak::Alive => {
+            CrashCheckResult::Crashed => log::warn!(upstream; "the upstream has crashed"),
+            CrashCheckResult::Alive => {
                 log::info!(upstream; "connections were lost, the upstream takes others")
             }
-            AfterBreak::Unreachable => log::info!(upstream; "the upstream cannot be reached"),
+            CrashCheckResult::Unreachable => log::info!(upstream; "the upstream cannot be reached"),
         }
     }
 
@@ -177,7 +177,7 @@
         log::warn!(
             upstream = instance.as_str(),
             fingerprint = run.request.to_string().as_str(),
-            on_trial = run.part == Part::OnTrial;
+            on_trial = run.part == CrashRole::OnTrial;
             "this request ran at an upstream that crashed"
         );
     }
--- a/src/gateway/versions/monitor.rs
+++ b/src/gateway/versions/monitor.rs
@@ -10,9 +10,9 @@
 use super::statistics::{RequestCounts, RolloutStatistics, StatisticsReport};
 use super::stored_evidence::StoredEvidence;
 use crate::clock::Now;
-use crate::evidence::Counts;
-use crate::guard::{Guard, GuardPolicy};
+use crate::evidence::AnswerCounts;
 use crate::name::VersionName;
+use crate::version_guard::{GuardPolicy, VersionGuard};
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 use std::time::Duration;
@@ -55,7 +55,7 @@
         /// The route on which it fails.
         route: String,
         /// Its responses on that route, and those that failed.
-        counts: Counts,
+        counts: AnswerCounts,
     },
     /// It is slower than the previous version.
     Slow,
@@ -140,7 +140,7 @@
     local: LocalStatistics,
     /// The statistics of other boxes, by order and reporter.
     peers: HashMap<u64, HashMap<String, PeerStatistics>>,
-    failure_guard: Guard,
+    failure_guard: VersionGuard,
     unproven_since: HashMap<u64, Duration>,
     rejections: HashMap<u64, RejectionReason>,
 }
@@ -153,7 +153,7 @@
             report_count: 0,
             local: LocalStatistics::default(),
             peers: HashMap::new(),
-            failure_guard: Guard::default(),
+            failure_guard: VersionGuard::default(),
             unproven_since: HashMap::new(),
             rejections: HashMap::new(),
         }
@@ -289,7 +289,7 @@
         &mut self,
         status: RolloutStatus<'_>,
         routes: BTreeMap<String, RouteCounts>,
-    ) -> Option<(String, Counts)> {
+    ) -> Option<(String, AnswerCounts)> {
         for (route, counts) in routes {
             let test_name = VersionName {
                 model: format!("{} {route}", status.order),
@@ -298,7 +298,7 @@
             let policy = counts.guard_policy();
             let alarm = self
                 .failure_guard
-                .observe_with(policy, &test_name, &counts.new);
+                .observe_with_policy(policy, &test_name, &counts.new);
             if alarm.is_some() {
                 return Some((route, counts.new));
             }
@@ -327,8 +327,8 @@
 /// The responses and failures on one route, or on all.
 #[derive(Debug, Clone, Copy, Default)]
 struct RouteCounts {
-    new: Counts,
-    old: Counts,
+    new: AnswerCounts,
+    old: AnswerCounts,
 }
 
 impl RouteCounts {
@@ -415,10 +415,10 @@
     let mut by_route: BTreeMap<String, RouteCounts> = BTreeMap::new();
     let mut all = RouteCounts::default();
     for (group, pair) in &statistics.groups {
-        let counts_of = |completed: u32, failed: u32| Counts {
+        let counts_of = |completed: u32, failed: u32| AnswerCounts {
             served: u64::from(completed) + u64::from(failed),
             failed: u64::from(failed),
-            ..Counts::default()
+            ..AnswerCounts::default()
         };
         let new = counts_of(pair.new.completed.total(), pair.new.failed);
         let old = counts_of(pair.old.completed.total(), pair.old.failed);
--- a/src/lab/fleet.rs
+++ b/src/lab/fleet.rs
@@ -159,7 +159,7 @@
             .iter()
             .map(|(hall, _)| format!("\"{hall}\""))
             .collect();
-        let session_key = SessionKey::generate_text();
+        let session_key = SessionKey::generate_base64();
         let common = format!(
             "partner = \"{}\"\nhalls = [{}]\n",
             plan.partner,
--- a/src/lab/platform.rs
+++ b/src/lab/platform.rs
@@ -2,7 +2,7 @@
 
 use super::model::BAD_MARK;
 use super::server::{StandIn, json, pause, text};
-use crate::live::{BoxState, ListedBox, LiveList};
+use crate::box_list::{BoxList, BoxState, ListedBox};
 use actix_http::body::BoxBody;
 use actix_http::{Method, Request, Response, StatusCode};
 use bytes::Bytes;
@@ -37,7 +37,7 @@
 /// The stand-in for both.
 #[derive(Debug, Default)]
 pub struct PlatformStandIn {
-    list: Mutex<LiveList>,
+    list: Mutex<BoxList>,
     rater: Mutex<RaterFaults>,
 }
 
--- a/src/operate/keygen.rs
+++ b/src/operate/keygen.rs
@@ -26,7 +26,7 @@
             folder,
         } => box_certificate(partner, name, folder),
         Keygen::Session => {
-            let key = SessionKey::generate_text();
+            let key = SessionKey::generate_base64();
             Ok(Output {
                 lines: vec![key.clone()],
                 value: json!({ "session_key": key }),
--- a/src/operate/report.rs
+++ b/src/operate/report.rs
@@ -1,11 +1,11 @@
 //! Shows how things stand and what was done.
 
 use super::Output;
+use crate::billing_ledger::read_ledger;
 use crate::change::SignedEntry;
 use crate::change_log::ChangeLog;
+use crate::decision_record::DecisionRecord;
 use crate::error::{Error, Result};
-use crate::ledger::read_ledger;
-use crate::record::DecisionRecord;
 use crate::settings::operator::OperatorSettings;
 use crate::store::etcd::EtcdStore;
 use crate::wire::client::WireClient;
@@ -111,7 +111,7 @@
 }
 
 fn audit_line(settings: &OperatorSettings, signed: &SignedEntry) -> (String, Value) {
-    let Ok(entry) = signed.peek() else {
+    let Ok(entry) = signed.parse_unverified() else {
         let line = "        NOT VALID: the entry cannot be read".to_owned();
         return (line, json!({ "valid": false }));
     };
--- a/src/outcome.rs
+++ b/src/outcome.rs
@@ -86,7 +86,7 @@
 
 impl ConnectFailed {
     /// Takes the proof out of a client's error, if it holds one.
-    pub fn prove(err: &awc::error::SendRequestError) -> Option<Self> {
+    pub fn from_send_error(err: &awc::error::SendRequestError) -> Option<Self> {
         crate::http_client::proves_unsent(err).then_some(Self(()))
     }
 }
@@ -100,17 +100,17 @@
 
 impl DispatchLog {
     /// Begins a try, which may write to an upstream from now on.
-    pub fn begin(&self) -> Dispatch<MaybeSent> {
+    pub fn begin_try(&self) -> Dispatch<MaybeSent> {
         Dispatch::new().send()
     }
 
     /// Records that a try wrote no byte.
-    pub fn retract(&mut self, dispatch: Dispatch<MaybeSent>, proof: ConnectFailed) {
+    pub fn record_unsent(&mut self, dispatch: Dispatch<MaybeSent>, proof: ConnectFailed) {
         self.unsent = dispatch.never_connected(proof);
     }
 
     /// Records that a try may have written to its upstream.
-    pub fn keep(&mut self, dispatch: Dispatch<MaybeSent>) {
+    pub fn record_maybe_sent(&mut self, dispatch: Dispatch<MaybeSent>) {
         self.maybe_sent = Some(dispatch);
     }
 
@@ -239,13 +239,13 @@
     /// A sentence for people.
     pub message: String,
     /// When it makes sense to come back, where more is known than the reason tells.
-    pub come_back_after: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 impl Refused {
     /// Returns after how many whole seconds it makes sense to come back, if it ever does.
     pub fn retry_after_seconds(&self) -> Option<u64> {
-        let known = self.come_back_after.map(|after| after.as_secs_f64().ceil());
+        let known = self.retry_after.map(|after| after.as_secs_f64().ceil());
         match known {
             Some(seconds) => Some(seconds as u64),
             None => self.reason.retry_after_seconds(),
--- a/src/router/answer.rs
+++ b/src/router/answer.rs
@@ -41,7 +41,7 @@
         outcome: Outcome::NotRun,
         reason: Reason::ConnectionClosed,
         message: "the router stops; send the request on another connection".to_owned(),
-        come_back_after: None,
+        retry_after: None,
     };
     let body = refusal_body(&refused).to_string();
     let response = refusal(&refused, None);
--- a/src/router/context.rs
+++ b/src/router/context.rs
@@ -6,11 +6,11 @@
 use super::telemetry::RouterMetrics;
 use crate::claim::{AttemptId, ClaimKey, ClaimReply, Finish};
 use crate::clock::Now;
-use crate::evidence::{Counts, EvidenceCell, Subject};
+use crate::decision_record::DecisionRecord;
+use crate::evidence::{AnswerCounts, EvidenceCell, EvidenceSubject};
 use crate::http_client::{fresh_client, reusing_client};
 use crate::name::VersionName;
 use crate::outcome::{Outcome, Reason, Refused};
-use crate::record::DecisionRecord;
 use crate::routing::admission::Admission;
 use crate::routing::budget::RetryBudget;
 use crate::routing::snapshot::Snapshot;
@@ -59,7 +59,7 @@
     /// The name under which this life of the router reports evidence.
     pub reporter: String,
     /// The counts of this life of the router.
-    pub evidence: Mutex<HashMap<Subject, Counts>>,
+    pub evidence: Mutex<HashMap<EvidenceSubject, AnswerCounts>>,
     /// How the newest requests ended.
     pub recent_finishes: RecentFinishes,
     /// Requests that were at crashes of upstreams.
@@ -83,8 +83,8 @@
     }
 
     /// Returns what a request sent now to a version for an organisation is counted under.
-    pub fn subject(&self, version: &VersionName, organisation: &str) -> Subject {
-        Subject {
+    pub fn subject(&self, version: &VersionName, organisation: &str) -> EvidenceSubject {
+        EvidenceSubject {
             version: version.clone(),
             organisation: organisation.to_owned(),
             lift: self.snapshot.load().control.newest_lift(version),
@@ -92,7 +92,7 @@
     }
 
     /// Adds to the counts of what a request was sent under.
-    pub fn count(&self, subject: &Subject, add: impl FnOnce(&mut Counts)) {
+    pub fn count(&self, subject: &EvidenceSubject, add: impl FnOnce(&mut AnswerCounts)) {
         let mut evidence = self.evidence.lock().unwrap_or_else(PoisonError::into_inner);
         add(evidence.entry(subject.clone()).or_default());
     }
@@ -100,7 +100,7 @@
     /// Returns this router's counts as its agent takes them.
     pub fn evidence_cells(&self) -> Vec<EvidenceCell> {
         let evidence = self.evidence.lock().unwrap_or_else(PoisonError::into_inner);
-        let cell = |(subject, counts): (&Subject, &Counts)| EvidenceCell {
+        let cell = |(subject, counts): (&EvidenceSubject, &AnswerCounts)| EvidenceCell {
             reporter: self.reporter.clone(),
             subject: subject.clone(),
             counts: *counts,
@@ -250,14 +250,14 @@
         outcome,
         reason,
         message: message.into(),
-        come_back_after: None,
+        retry_after: None,
     }
 }
 
 /// Refuses a request because every upstream that could serve it has asked for rest.
 pub fn refuse_for_rest(outcome: Outcome, left: Duration) -> Refused {
     Refused {
-        come_back_after: Some(left),
+        retry_after: Some(left),
         ..refuse(
             outcome,
             Reason::Resting,
--- a/src/router/crash_guard.rs
+++ b/src/router/crash_guard.rs
@@ -5,7 +5,9 @@
 
 use super::context::{RouterShared, refuse};
 use crate::clock::Now;
-use crate::crash_ledger::{AfterBreak, CrashLedger, CrashRecord, LifeHash, Part, Standing};
+use crate::crash_ledger::{
+    CrashCheckResult, CrashLedger, CrashRecord, CrashRole, IncarnationHash, QuarantineState,
+};
 use crate::fingerprint::Fingerprint;
 use crate::outcome::{DispatchLog, Reason, Refused};
 use crate::routing::placement::Upstream;
@@ -44,21 +46,21 @@
     pub fn take(&self, records: &[CrashRecord], now: Now) {
         let mut ledger = self.ledger();
         for record in records {
-            let before = ledger.standing(record.request, now);
-            ledger.take(record, now);
+            let before = ledger.quarantine_state(record.request, now);
+            ledger.merge_record(record, now);
             note_standing(before, record.request, &ledger, now);
         }
     }
 
     /// Returns what the agent is told.
     pub fn records(&self, now: Now) -> Vec<CrashRecord> {
-        self.ledger().most_telling(RECORDS_PER_REPORT, now)
+        self.ledger().top_records(RECORDS_PER_REPORT, now)
     }
 
     /// Changes what is known of a request here, and has the agent told.
     fn change(&self, request: Fingerprint, now: Now, change: impl FnOnce(&mut CrashLedger)) {
         let mut ledger = self.ledger();
-        let before = ledger.standing(request, now);
+        let before = ledger.quarantine_state(request, now);
         change(&mut ledger);
         note_standing(before, request, &ledger, now);
         drop(ledger);
@@ -67,8 +69,8 @@
 }
 
 /// Logs a change of what may be done with a request.
-fn note_standing(before: Standing, request: Fingerprint, ledger: &CrashLedger, now: Now) {
-    let standing = ledger.standing(request, now);
+fn note_standing(before: QuarantineState, request: Fingerprint, ledger: &CrashLedger, now: Now) {
+    let standing = ledger.quarantine_state(request, now);
     if std::mem::discriminant(&before) != std::mem::discriminant(&standing) {
         let fingerprint = request.to_string();
         log::warn!(fingerprint = fingerprint.as_str(); "{}", standing.describe());
@@ -95,22 +97,26 @@
 
     /// Decides whether the request may be sent now.
     pub fn admit(&self, log: &DispatchLog, now: Now) -> Result<(), Refused> {
-        let standing = self.shared.suspects.ledger().standing(self.request, now);
+        let standing = self
+            .shared
+            .suspects
+            .ledger()
+            .quarantine_state(self.request, now);
         let refused = |reason, message| Err(refuse(log.refusal_outcome(), reason, message));
         match standing {
-            Standing::Clear => Ok(()),
-            Standing::Suspect | Standing::OnTrial(_) if self.on_trial.get() => Ok(()),
-            Standing::Suspect => {
+            QuarantineState::Clear => Ok(()),
+            QuarantineState::Suspect | QuarantineState::OnTrial(_) if self.on_trial.get() => Ok(()),
+            QuarantineState::Suspect => {
                 self.on_trial.set(true);
                 let begin = |ledger: &mut CrashLedger| ledger.begin_trial(self.request, now);
                 self.shared.suspects.change(self.request, now, begin);
                 Ok(())
             }
-            Standing::OnTrial(_) => refused(
+            QuarantineState::OnTrial(_) => refused(
                 Reason::OnTrial,
                 "upstreams crashed that ran this request, and another send of it is tried alone",
             ),
-            Standing::Quarantined => refused(
+            QuarantineState::Quarantined => refused(
                 Reason::CrashesUpstreams,
                 "upstreams crash that run this request",
             ),
@@ -121,27 +127,27 @@
     pub async fn broke_off(&self, upstream: &str, address: SocketAddr) {
         let was_on_trial = self.on_trial.take();
         sleep(CHECK_DELAY).await;
-        let found = AfterBreak::by(&connect(address).await);
+        let found = CrashCheckResult::from_connect_result(&connect(address).await);
         let now = Now::read();
         let fingerprint = self.request.to_string();
         let fingerprint = fingerprint.as_str();
         log::info!(upstream, fingerprint; "a run broke off: {found:?}");
         let part = match was_on_trial {
-            true => Part::OnTrial,
-            false => Part::Present,
+            true => CrashRole::OnTrial,
+            false => CrashRole::Concurrent,
         };
         match found {
-            AfterBreak::Crashed => {
+            CrashCheckResult::Crashed => {
                 let life = life_hash(upstream, address);
                 self.shared.suspects.change(self.request, now, |ledger| {
-                    ledger.crashed(life, self.request, part, now);
+                    ledger.add_crash(life, self.request, part, now);
                 });
             }
-            AfterBreak::Alive | AfterBreak::Unreachable if was_on_trial => {
+            CrashCheckResult::Alive | CrashCheckResult::Unreachable if was_on_trial => {
                 let end = |ledger: &mut CrashLedger| ledger.end_trial(self.request);
                 self.shared.suspects.change(self.request, now, end);
             }
-            AfterBreak::Alive | AfterBreak::Unreachable => {}
+            CrashCheckResult::Alive | CrashCheckResult::Unreachable => {}
         }
     }
 
@@ -151,7 +157,7 @@
             return;
         }
         self.shared.suspects.change(self.request, now, |ledger| {
-            ledger.answered(self.request, now);
+            ledger.add_answer(self.request, now);
         });
     }
 }
@@ -172,7 +178,7 @@
 
 /// Names one life of an upstream. The list tells no lives apart, so an upstream that crashes twice
 /// under one name and address counts once.
-fn life_hash(name: &str, address: SocketAddr) -> LifeHash {
+fn life_hash(name: &str, address: SocketAddr) -> IncarnationHash {
     let text = format!("{name} {address}");
     // The lower half of a hash is as good as any other.
     xxhash_rust::xxh3::xxh3_64(text.as_bytes()) as u32
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -30,25 +30,25 @@
     upstream: &Upstream,
     log: &mut DispatchLog,
 ) -> Result<UpstreamResponse, DispatchFailure> {
-    let sending = log.begin();
+    let sending = log.begin_try();
     let answered = timeout(caller.time_left(Now::read()), request).await;
     let (reason, message, proof) = match answered {
         Ok(Ok(response)) => {
-            log.keep(sending);
+            log.record_maybe_sent(sending);
             read_signs(&response, upstream, Now::read());
             return Ok(response);
         }
         Ok(Err(err)) => (
             Reason::UpstreamFailed,
             err.to_string(),
-            ConnectFailed::prove(&err),
+            ConnectFailed::from_send_error(&err),
         ),
         Err(_) => (Reason::Deadline, "the deadline passed".to_owned(), None),
     };
     let is_unsent = proof.is_some();
     match proof {
-        Some(proof) => log.retract(sending, proof),
-        None => log.keep(sending),
+        Some(proof) => log.record_unsent(sending, proof),
+        None => log.record_maybe_sent(sending),
     }
     let refused = refuse(log.refusal_outcome(), reason, message);
     Err(DispatchFailure { refused, is_unsent })
--- a/src/router/link.rs
+++ b/src/router/link.rs
@@ -4,9 +4,9 @@
 use super::context::RouterShared;
 use crate::bundle::Bundle;
 use crate::clock::Now;
+use crate::decision_record::DecisionRecord;
 use crate::evidence::Evidence;
 use crate::metrics::Metrics;
-use crate::record::DecisionRecord;
 use crate::routing::snapshot::Snapshot;
 use crate::wire::WireError;
 use crate::wire::client::WireClient;
@@ -129,7 +129,7 @@
 /// Takes an entry that the agent verified; an older one, from an agent that started
 /// anew, changes nothing.
 fn take_change(next: &mut Snapshot, entry: &crate::change::SignedEntry, bundle: Option<String>) {
-    let Ok(entry) = entry.peek() else {
+    let Ok(entry) = entry.parse_unverified() else {
         log::error!("the agent sent an entry that cannot be read");
         return;
     };
--- a/src/router/model.rs
+++ b/src/router/model.rs
@@ -10,9 +10,9 @@
 use super::rating::{is_sampled, rate_inline, rate_later};
 use super::sse::usage_of_answer;
 use super::trace::Trace;
-use crate::bundle::{Bundle, Cascade, Gate};
+use crate::bundle::{Bundle, Cascade, QualityGate};
 use crate::clock::Now;
-use crate::fingerprint::{Fingerprint, Identity};
+use crate::fingerprint::{Fingerprint, RequestIdentity};
 use crate::name::VersionName;
 use crate::outcome::{DispatchLog, Outcome, Reason, Refused};
 use crate::routing::admission::Admitted;
@@ -109,7 +109,7 @@
         };
         not_run(reason, err.to_string())
     })?;
-    let fingerprint = Fingerprint::of(Identity {
+    let fingerprint = Fingerprint::of(RequestIdentity {
         caller: Some(&caller.organisation),
         method: req.method().as_str(),
         host: "",
@@ -255,7 +255,7 @@
     for (position, model) in plan.steps.iter().enumerate().skip(first) {
         let is_last = position + 1 == plan.steps.len();
         let gate = plan.cascade.as_ref().map(|cascade| cascade.gate);
-        let holds = gate == Some(Gate::Inline) && !is_last;
+        let holds = gate == Some(QualityGate::Inline) && !is_last;
         let step = Step {
             model,
             pinned: plan.pinned.as_ref(),
@@ -272,7 +272,7 @@
                 continue;
             }
         };
-        session.keep(&answer.version);
+        session.pin_version(&answer.version);
         if asked.stream && !holds {
             let relay = Relay::new(answer, session, cost, admitted);
             let (tx, body) = relayed_body();
--- a/src/router/model_try.rs
+++ b/src/router/model_try.rs
@@ -9,10 +9,10 @@
 use super::model::ModelRequest;
 use super::trace::Trace;
 use crate::clock::Now;
-use crate::evidence::Subject;
+use crate::decision_record::TryRecord;
+use crate::evidence::EvidenceSubject;
 use crate::name::VersionName;
 use crate::outcome::{DispatchLog, Outcome, Reason, Refused};
-use crate::record::TryRecord;
 use crate::routing::placement::{
     LoadGuard, PlacementQuery, Upstream, choose_upstream, first_rested,
 };
@@ -52,7 +52,7 @@
     /// The version that runs.
     pub version: VersionName,
     /// What the answer is counted under.
-    pub subject: Subject,
+    pub subject: EvidenceSubject,
     /// The rest of the answer.
     pub response: UpstreamResponse,
     /// The first bytes of a streamed answer.
@@ -94,7 +94,7 @@
     }
 }
 
-fn count_failure(worker: &Worker, subject: &Subject) {
+fn count_failure(worker: &Worker, subject: &EvidenceSubject) {
     worker.shared.count(subject, |counts| {
         counts.served += 1;
         counts.failed += 1;
--- a/src/router/plain.rs
+++ b/src/router/plain.rs
@@ -10,9 +10,9 @@
 use super::trace::Trace;
 use crate::bundle::Service;
 use crate::clock::Now;
-use crate::fingerprint::{Fingerprint, Identity};
+use crate::decision_record::TryRecord;
+use crate::fingerprint::{Fingerprint, RequestIdentity};
 use crate::outcome::{DispatchLog, Outcome, Reason, Refused};
-use crate::record::TryRecord;
 use crate::routing::placement::{
     LoadGuard, PlacementQuery, Upstream, choose_upstream, first_rested,
 };
@@ -168,7 +168,7 @@
 
 /// Tells a request apart from others by what the router has of it.
 pub fn fingerprint(caller: &Caller, req: &Request, body: &[u8]) -> Fingerprint {
-    Fingerprint::of(Identity {
+    Fingerprint::of(RequestIdentity {
         caller: Some(&caller.organisation),
         method: req.method().as_str(),
         host: "",
--- a/src/router/rating.rs
+++ b/src/router/rating.rs
@@ -1,7 +1,7 @@
 //! Asks the platform's service whether an answer is good.
 
 use super::context::Worker;
-use crate::evidence::Subject;
+use crate::evidence::EvidenceSubject;
 use crate::name::VersionName;
 use crate::routing::snapshot::Snapshot;
 use bytes::Bytes;
@@ -28,7 +28,7 @@
 /// Asks whether an answer is good; none means that no rating came in time.
 pub async fn rate(
     worker: &Worker,
-    subject: &Subject,
+    subject: &EvidenceSubject,
     answer: &Bytes,
     deadline: Duration,
 ) -> Option<bool> {
@@ -52,7 +52,7 @@
 /// Asks for a rating on which a request waits.
 pub async fn rate_inline(
     worker: &Worker,
-    subject: &Subject,
+    subject: &EvidenceSubject,
     answer: &Bytes,
     left: Duration,
 ) -> Option<bool> {
@@ -73,14 +73,14 @@
 }
 
 /// Rates an answer in the background.
-pub fn rate_later(worker: &Rc<Worker>, subject: &Subject, answer: Bytes) {
+pub fn rate_later(worker: &Rc<Worker>, subject: &EvidenceSubject, answer: Bytes) {
     let (worker, subject) = (worker.clone(), subject.clone());
     actix_rt::spawn(async move {
         rate(&worker, &subject, &answer, SAMPLE_DEADLINE).await;
     });
 }
 
-fn count(worker: &Worker, subject: &Subject, good: bool) {
+fn count(worker: &Worker, subject: &EvidenceSubject, good: bool) {
     worker.shared.count(subject, |counts| {
         if good {
             counts.good += 1;
--- a/src/router/telemetry.rs
+++ b/src/router/telemetry.rs
@@ -1,7 +1,7 @@
 //! The router's metrics.
 
+use crate::decision_record::DecisionRecord;
 use crate::metrics::Metrics;
-use crate::record::DecisionRecord;
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Gauge, Histogram};
 use std::time::Duration;
--- a/src/router/trace.rs
+++ b/src/router/trace.rs
@@ -2,8 +2,8 @@
 
 use super::context::{Caller, RouterShared};
 use crate::clock::Now;
+use crate::decision_record::DecisionRecord;
 use crate::outcome::{Outcome, Refused};
-use crate::record::DecisionRecord;
 use std::time::Duration;
 
 /// What was decided so far about one request.
--- a/src/routing/cascade.rs
+++ b/src/routing/cascade.rs
@@ -5,8 +5,8 @@
 //! often enough, and explores cheaper ones now and then. See `docs/design/cascades.md`.
 
 use super::snapshot::Snapshot;
-use crate::bundle::{Cascade, Gate};
-use crate::evidence::Counts;
+use crate::bundle::{Cascade, QualityGate};
+use crate::evidence::AnswerCounts;
 use rand::Rng;
 
 /// The fewest ratings from which a step's quality is judged.
@@ -23,7 +23,7 @@
     cascade: &Cascade,
     rng: &mut impl Rng,
 ) -> usize {
-    if cascade.gate == Gate::Inline {
+    if cascade.gate == QualityGate::Inline {
         return 0;
     }
     let quality = |step: &String| quality_of(snapshot, organisation, step);
@@ -53,7 +53,7 @@
 /// As for the guard, what was rated before operators lifted a version's suspension says nothing of
 /// the version after it.
 fn quality_of(snapshot: &Snapshot, organisation: &str, model: &str) -> Option<f64> {
-    let mut counts = Counts::default();
+    let mut counts = AnswerCounts::default();
     for (subject, found) in snapshot.sums.iter() {
         let is_asked_for = subject.organisation == organisation && subject.version.model == model;
         if is_asked_for && subject.lift == snapshot.control.newest_lift(&subject.version) {
--- a/src/routing/snapshot.rs
+++ b/src/routing/snapshot.rs
@@ -1,9 +1,9 @@
 //! What a router knows at one moment, replaced as a whole when anything changes.
 
+use crate::box_list::{AGENT_SERVICE, BoxList, BoxState};
 use crate::bundle::Bundle;
 use crate::change::{ControlState, Generation};
-use crate::evidence::{Counts, Subject};
-use crate::live::{AGENT_SERVICE, BoxState, LiveList};
+use crate::evidence::{AnswerCounts, EvidenceSubject};
 use crate::name::VersionName;
 use crate::routing::placement::{Upstream, UpstreamLoad};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -26,7 +26,7 @@
     /// Whether a live list has come yet.
     pub has_list: bool,
     /// What all boxes together have seen of versions.
-    pub sums: Arc<BTreeMap<Subject, Counts>>,
+    pub sums: Arc<BTreeMap<EvidenceSubject, AnswerCounts>>,
 }
 
 impl Snapshot {
@@ -37,7 +37,7 @@
 
     /// Takes a live list; the loads of upstreams that stay are kept. One at another address is
     /// another upstream, though it has the name of one before.
-    pub fn take_list(&mut self, list: &LiveList) {
+    pub fn take_list(&mut self, list: &BoxList) {
         let mut loads: HashMap<(String, SocketAddr), Arc<UpstreamLoad>> = HashMap::new();
         for upstream in self.upstreams.values().flatten() {
             let place = (upstream.name.clone(), upstream.address);
--- a/src/routing/versions.rs
+++ b/src/routing/versions.rs
@@ -116,7 +116,7 @@
         .into_iter()
         .map(name);
     let chosen = session
-        .version_of(model_name)
+        .pinned_version(model_name)
         .into_iter()
         .chain(by_stage)
         .find(may_run);
--- a/src/session.rs
+++ b/src/session.rs
@@ -35,7 +35,7 @@
     }
 
     /// Makes a new key and returns it in base64.
-    pub fn generate_text() -> String {
+    pub fn generate_base64() -> String {
         let key: [u8; KEY_BYTES] = rand::random();
         BASE64.encode(key)
     }
@@ -94,7 +94,7 @@
     }
 
     /// Returns the version that the session keeps of a model.
-    pub fn version_of(&self, model: &str) -> Option<VersionName> {
+    pub fn pinned_version(&self, model: &str) -> Option<VersionName> {
         let version = self.versions.get(model)?;
         Some(VersionName {
             model: model.to_owned(),
@@ -103,7 +103,7 @@
     }
 
     /// Records the version that serves the session from now on.
-    pub fn keep(&mut self, version: &VersionName) {
+    pub fn pin_version(&mut self, version: &VersionName) {
         self.versions
             .insert(version.model.clone(), version.version.clone());
     }
--- a/src/settings/agent.rs
+++ b/src/settings/agent.rs
@@ -2,10 +2,10 @@
 
 use super::reader::{Document, Section};
 use super::{BoxIdentity, folder_of, read_address, read_identity, read_name, read_tls};
-use crate::change::Operators;
+use crate::change::OperatorKeys;
 use crate::error::Result;
-use crate::guard::GuardPolicy;
 use crate::keys::PublicKey;
+use crate::version_guard::GuardPolicy;
 use crate::wire::tls::TlsFiles;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -28,7 +28,7 @@
     /// The certificate of the box.
     pub tls: TlsFiles,
     /// The operators whose signatures count.
-    pub operators: Operators,
+    pub operators: OperatorKeys,
     /// What the exposure guard tolerates.
     pub guard: GuardPolicy,
 }
@@ -66,7 +66,7 @@
 }
 
 /// Reads the `[[operator]]` tables.
-pub(super) fn read_operators(root: &Section<'_>) -> Operators {
+pub(super) fn read_operators(root: &Section<'_>) -> OperatorKeys {
     let operators = root.sections("operator", |section| {
         let name = read_name(section, "name");
         let key = section.parsed(
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -3,7 +3,7 @@
 use super::agent::read_operators;
 use super::reader::Document;
 use super::{folder_of, read_address, read_name, read_tls};
-use crate::change::Operators;
+use crate::change::OperatorKeys;
 use crate::error::Result;
 use crate::wire::tls::TlsFiles;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
     /// The certificate that agents accept.
     pub tls: TlsFiles,
     /// The operators whose signatures count.
-    pub operators: Operators,
+    pub operators: OperatorKeys,
 }
 
 impl OperatorSettings {
--- a/src/guard.rs
+++ b/src/version_guard.rs
@@ -7,7 +7,7 @@
 //! See `docs/design/exposure.md`.
 
 use crate::change::Generation;
-use crate::evidence::Counts;
+use crate::evidence::AnswerCounts;
 use crate::name::VersionName;
 use std::collections::BTreeMap;
 
@@ -50,20 +50,20 @@
 /// The state of one version's tests.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 struct Sums {
-    seen: Counts,
+    seen: AnswerCounts,
     bad: f64,
     failed: f64,
 }
 
 /// The guard's tests of all versions.
 #[derive(Debug, Clone, Default)]
-pub struct Guard {
+pub struct VersionGuard {
     policy: GuardPolicy,
     sums: BTreeMap<VersionName, Sums>,
     lifted: BTreeMap<VersionName, Generation>,
 }
 
-impl Guard {
+impl VersionGuard {
     /// Makes a guard with a policy.
     pub fn new(policy: GuardPolicy) -> Self {
         Self {
@@ -73,16 +73,16 @@
     }
 
     /// Takes the newest counts of a version and decides whether it has turned bad.
-    pub fn observe(&mut self, version: &VersionName, counts: &Counts) -> Option<Alarm> {
-        self.observe_with(self.policy, version, counts)
+    pub fn observe(&mut self, version: &VersionName, counts: &AnswerCounts) -> Option<Alarm> {
+        self.observe_with_policy(self.policy, version, counts)
     }
 
     /// Does the same by another policy, where what is tolerable was measured.
-    pub fn observe_with(
+    pub fn observe_with_policy(
         &mut self,
         policy: GuardPolicy,
         version: &VersionName,
-        counts: &Counts,
+        counts: &AnswerCounts,
     ) -> Option<Alarm> {
         let sums = self.sums.entry(version.clone()).or_default();
         let new = counts.since(&sums.seen);
@@ -111,7 +111,7 @@
 
     /// Begins anew with each version that operators have lifted since, whose counts begin
     /// anew as well.
-    pub fn follow_lifts(&mut self, lifted: &BTreeMap<VersionName, Generation>) {
+    pub fn reset_lifted(&mut self, lifted: &BTreeMap<VersionName, Generation>) {
         let known = &self.lifted;
         self.sums
             .retain(|version, _| lifted.get(version) == known.get(version));
--- a/src/wire/message.rs
+++ b/src/wire/message.rs
@@ -1,13 +1,13 @@
 //! The messages between the system's own processes.
 
+use crate::box_list::BoxList;
 use crate::change::{Generation, SignedEntry};
 use crate::claim::message::{Refusal, ReplicaMessage};
 use crate::claim::view::{Member, ShardId, View};
 use crate::claim::{AttemptId, ClaimKey, ClaimReply, Finish};
 use crate::crash_ledger::CrashRecord;
+use crate::decision_record::DecisionRecord;
 use crate::evidence::{EvidenceCell, Suspension};
-use crate::live::LiveList;
-use crate::record::DecisionRecord;
 use crate::store::StoreCalls;
 use serde::{Deserialize, Serialize};
 
@@ -115,7 +115,7 @@
     /// The newest entry of the change log.
     pub entry: Option<SignedEntry>,
     /// The live list.
-    pub list: Option<LiveList>,
+    pub list: Option<BoxList>,
     /// The views.
     pub views: Vec<View>,
     /// The suspensions.
@@ -144,7 +144,7 @@
         bundle: Option<String>,
     },
     /// The live list.
-    Live(LiveList),
+    Live(BoxList),
     /// The versions that the exposure guard suspended.
     Suspended(Vec<Suspension>),
     /// The counts of all agents, from which cascades learn.
--- a/tests/common/operating.rs
+++ b/tests/common/operating.rs
@@ -125,7 +125,7 @@
     /// Returns the ledger's bills by key, as the command line sums them up.
     pub async fn ledger(&self) -> BTreeMap<String, gatepier::claim::Bill> {
         let store = gatepier::store::etcd::EtcdStore::new(self.store_address);
-        let ledger = gatepier::ledger::read_ledger(&store, PARTNER)
+        let ledger = gatepier::billing_ledger::read_ledger(&store, PARTNER)
             .await
             .unwrap();
         ledger
--- a/tests/common/scripted.rs
+++ b/tests/common/scripted.rs
@@ -1,8 +1,8 @@
 //! An upstream whose answers a test scripts as text.
 
 use super::{Bench, BenchPlan};
+use gatepier::box_list::ListedBox;
 use gatepier::lab::platform::ListChange;
-use gatepier::live::ListedBox;
 use gatepier::name::VersionName;
 use serde_json::json;
 use std::cell::Cell;
--- a/tests/common/starting.rs
+++ b/tests/common/starting.rs
@@ -4,6 +4,8 @@
     BUNDLE, Bench, BenchPlan, ModelUpstream, PARTNER, PATIENCE, POLL, Process, RunningBox,
     ServiceUpstream,
 };
+use gatepier::box_list::AGENT_SERVICE;
+use gatepier::box_list::ListedBox;
 use gatepier::lab::fleet::Fleet;
 use gatepier::lab::fleet::FleetPlan;
 use gatepier::lab::fleet::Wiring;
@@ -15,8 +17,6 @@
 use gatepier::lab::service::ServiceStandIn;
 use gatepier::lab::store::StoreFaults;
 use gatepier::lab::store::StoreStandIn;
-use gatepier::live::AGENT_SERVICE;
-use gatepier::live::ListedBox;
 use gatepier::name::VersionName;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/tests/exposure.rs
+++ b/tests/exposure.rs
@@ -6,8 +6,7 @@
 use gatepier::bundle::Bundle;
 use gatepier::change::Generation;
 use gatepier::clock::Now;
-use gatepier::evidence::{Counts, Evidence, EvidenceCell, Subject, Suspension};
-use gatepier::guard::{Guard, GuardPolicy};
+use gatepier::evidence::{AnswerCounts, Evidence, EvidenceCell, EvidenceSubject, Suspension};
 use gatepier::lab::model::Behaviour;
 use gatepier::lab::proxy::LinkMode;
 use gatepier::lab::store::StoreFaults;
@@ -17,6 +16,7 @@
 use gatepier::store::Store as _;
 use gatepier::store::etcd::EtcdStore;
 use gatepier::store::layout::suspension_key;
+use gatepier::version_guard::{GuardPolicy, VersionGuard};
 use googletest::prelude::*;
 use rand::rngs::StdRng;
 use rand::{Rng as _, SeedableRng as _};
@@ -57,11 +57,11 @@
     } else {
         BOXES
     };
-    let mut watchers: Vec<(Guard, Counts, Vec<bool>, bool)> = (0..guards)
+    let mut watchers: Vec<(VersionGuard, AnswerCounts, Vec<bool>, bool)> = (0..guards)
         .map(|_| {
             (
-                Guard::new(GuardPolicy::default()),
-                Counts::default(),
+                VersionGuard::new(GuardPolicy::default()),
+                AnswerCounts::default(),
                 vec![],
                 false,
             )
@@ -135,8 +135,8 @@
 #[googletest::test]
 fn good_version_is_left_alone_for_a_million_answers() {
     let mut rng = StdRng::seed_from_u64(7);
-    let mut guard = Guard::new(GuardPolicy::default());
-    let mut counts = Counts::default();
+    let mut guard = VersionGuard::new(GuardPolicy::default());
+    let mut counts = AnswerCounts::default();
     for _ in 0..1_000_000 {
         if rng.random_bool(0.10) {
             counts.bad += 1
@@ -151,15 +151,15 @@
 fn failures(reporter: &str, lift: Generation, failed: u64) -> EvidenceCell {
     EvidenceCell {
         reporter: reporter.to_owned(),
-        subject: Subject {
+        subject: EvidenceSubject {
             version: small(),
             organisation: "comics".to_owned(),
             lift,
         },
-        counts: Counts {
+        counts: AnswerCounts {
             served: failed,
             failed,
-            ..Counts::default()
+            ..AnswerCounts::default()
         },
     }
 }
@@ -170,9 +170,9 @@
 #[googletest::test]
 fn counts_from_before_a_lift_condemn_nothing_when_they_come_late() {
     let mut evidence = Evidence::default();
-    let mut guard = Guard::new(GuardPolicy::default());
+    let mut guard = VersionGuard::new(GuardPolicy::default());
     let mut observe = |evidence: &Evidence, lifted: &BTreeMap<VersionName, Generation>| {
-        guard.follow_lifts(lifted);
+        guard.reset_lifted(lifted);
         let counts = evidence.by_version(lifted);
         let alarm = |(version, counts)| guard.observe(version, counts).is_some();
         counts.iter().any(alarm)
@@ -194,16 +194,16 @@
 fn ratings_from_before_a_lift_do_not_keep_a_cascade_from_its_model() {
     let bundle = Bundle::parse(BUNDLE).unwrap();
     let cascade = &bundle.cascades["thread"];
-    let subject = |lift| Subject {
+    let subject = |lift| EvidenceSubject {
         version: small(),
         organisation: "comics".to_owned(),
         lift,
     };
-    let rated = |good, bad| Counts {
+    let rated = |good, bad| AnswerCounts {
         served: good + bad,
         good,
         bad,
-        ..Counts::default()
+        ..AnswerCounts::default()
     };
     let mut snapshot = Snapshot {
         sums: Arc::new(BTreeMap::from([
