--- a/src/billing_ledger.rs
+++ b/src/billing_ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger: bills in the store, of which each key counts once.
+//! Reads the billing ledger in the store, in which each claim key is billed once.
 
 use crate::claim::{Bill, ClaimKey};
 use crate::store::layout::ledger_prefix;
@@ -6,19 +6,19 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-const PAGE: usize = 200;
+const PAGE_ENTRIES: usize = 200;
 
-/// The greatest number of bills in one segment.
+/// Upper bound of the number of bills in one segment.
 pub const MAX_SEGMENT_BILLS: usize = 1000;
 
-/// Bills that were written together.
+/// Bills that are stored in one entry of the ledger.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Segment {
     /// The bills.
     pub bills: Vec<Bill>,
 }
 
-/// Reads a partner's whole ledger; the first bill of a key counts.
+/// Reads a partner's whole ledger. If a key has several bills, the first one counts.
 pub async fn read_ledger(
     store: &dyn Store,
     partner: &str,
@@ -27,7 +27,7 @@
     let mut after = String::new();
     let mut ledger = BTreeMap::new();
     loop {
-        let page = store.list(&prefix, &after, PAGE).await?;
+        let page = store.list(&prefix, &after, PAGE_ENTRIES).await?;
         let Some((last, _)) = page.last() else {
             return Ok(ledger);
         };
--- a/src/box_list.rs
+++ b/src/box_list.rs
@@ -1,4 +1,4 @@
-//! The platform's lagging list of live and leaving boxes.
+//! The platform's list of live and leaving boxes, which may lag behind reality.
 
 use crate::http_client::reusing_client;
 use crate::name::VersionName;
@@ -9,42 +9,42 @@
 use std::time::Duration;
 
 const LIST_TIMEOUT: Duration = Duration::from_secs(2);
-const LIST_BYTES_LIMIT: usize = 4 * 1024 * 1024;
+const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
-/// The service name under which the list holds the agents of entry boxes.
+/// The service name of the agents on entry boxes.
 pub const AGENT_SERVICE: &str = "gatepier-agent";
 
-/// The list, as the platform gave it at one revision.
+/// One revision of the platform's list of boxes.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct BoxList {
-    /// The list's revision; a higher one is newer.
+    /// The list's revision number; a higher one is newer.
     pub revision: u64,
     /// The boxes.
     pub boxes: Vec<ListedBox>,
 }
 
-/// Whether a box takes new work.
+/// Whether a box accepts new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum BoxState {
-    /// The box takes work.
+    /// The box accepts work.
     Live,
-    /// The box finishes what it has and takes nothing new.
+    /// The box finishes its current work and accepts no more.
     Leaving,
 }
 
-/// One box of the list.
+/// A box in the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedBox {
-    /// The box's name, which is never used again after the box was replaced.
+    /// The box's name, which is not reused after the box has been replaced.
     pub name: String,
-    /// The service that runs there.
+    /// The service that runs on the box.
     pub service: String,
-    /// The hall.
+    /// The hall of the box.
     pub hall: String,
-    /// Where the service listens.
+    /// The address on which the service listens.
     pub address: SocketAddr,
-    /// Whether the box takes new work.
+    /// Whether the box accepts new work.
     pub state: BoxState,
     /// The versions that a model server has loaded; empty for other services.
     #[serde(default)]
@@ -52,7 +52,7 @@
 }
 
 impl ListedBox {
-    /// Describes a live box that runs a service, with the versions that it has loaded.
+    /// Creates the entry of a live box that runs a service with the given loaded versions.
     pub fn live(
         name: &str,
         service: &str,
@@ -79,13 +79,13 @@
             .filter(move |listed| listed.service == service)
     }
 
-    /// Tells whether the list holds a box by this name.
+    /// Tells whether the list contains a box with this name.
     pub fn contains(&self, name: &str) -> bool {
         self.boxes.iter().any(|listed| listed.name == name)
     }
 }
 
-/// Reads the list over HTTP.
+/// Client that reads the list over HTTP.
 pub struct ListClient {
     client: Client,
     address: SocketAddr,
@@ -100,7 +100,7 @@
 }
 
 impl ListClient {
-    /// Makes a client for the list at an address.
+    /// Creates a client for the list at an address.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             client: reusing_client(),
@@ -113,10 +113,10 @@
         let url = format!("http://{}/v1/boxes", self.address);
         let request = self.client.get(url).timeout(LIST_TIMEOUT);
         let mut res = request.send().await.map_err(|err| err.to_string())?;
-        let list = res.json().limit(LIST_BYTES_LIMIT);
+        let list = res.json().limit(MAX_LIST_BYTES);
         match tokio::time::timeout(LIST_TIMEOUT, list).await {
             Ok(list) => list.map_err(|err| err.to_string()),
-            Err(_) => Err("no answer in time".to_owned()),
+            Err(_) => Err("timed out reading the response body".to_owned()),
         }
     }
 }
--- a/src/bundle.rs
+++ b/src/bundle.rs
@@ -1,8 +1,7 @@
-//! Bundles: what a partner's operators state about models, cascades and services.
+//! Bundles: a partner's configuration of models, cascades, organisations and services.
 //!
-//! A bundle is written in TOML, checked strictly and addressed by the digest of
-//! its text, so that a sign-off names exactly what was signed. See
-//! `docs/design/changes.md`.
+//! A bundle is written in TOML, validated strictly and addressed by the digest of its text, so that
+//! a sign-off refers to exactly the text that was signed. See `docs/design/changes.md`.
 
 use crate::clock::WallTime;
 use crate::error::Result;
@@ -13,15 +12,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// The greatest size of a bundle's text in bytes; the store holds values up to a megabyte.
+/// Upper bound of the size of a bundle's text; the store accepts values of up to a megabyte.
 pub const MAX_BUNDLE_BYTES: usize = 512 * 1024;
 
 const NAME_EXPECTED: &str = "a name of letters, digits, `-`, `_` and `.`";
 const VERSION_EXPECTED: &str = "a version written as model/version";
-const DEFAULT_QUALITY_PERCENT: f64 = 0.9;
+const DEFAULT_QUALITY_FRACTION: f64 = 0.9;
 const MAX_COST_MICROS: u64 = 1_000_000_000;
 
-/// What one partner allows its organisations, and how requests step from cheap to costly.
+/// One partner's models, cascades and services, and what its organisations may use.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Bundle {
     /// The partner whose operators wrote the bundle.
@@ -36,10 +35,10 @@
     pub services: BTreeMap<String, Service>,
 }
 
-/// A model, with its versions.
+/// A model and its versions.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Model {
-    /// The version that serves where no roll-out says otherwise.
+    /// The version that serves unless a roll-out selects another one.
     pub incumbent: String,
     /// The versions by name.
     pub versions: BTreeMap<String, Version>,
@@ -48,75 +47,76 @@
 /// A version of a model.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Version {
-    /// The price of a thousand tokens, in millionths of a credit.
+    /// Price of a thousand tokens in millionths of a credit.
     pub cost_micros: u64,
-    /// The moment from which the version may serve.
+    /// Time from which the version may serve; none means always.
     pub enters: Option<WallTime>,
-    /// The moment from which the version may not serve any more.
+    /// Time from which the version may no longer serve; none means never.
     pub leaves: Option<WallTime>,
 }
 
 impl Version {
-    /// Tells whether the version's dates let it serve at a moment.
+    /// Tells whether the version's dates allow it to serve at a given time.
     pub fn is_in_service(&self, at: WallTime) -> bool {
         self.enters.is_none_or(|enters| enters <= at)
             && self.leaves.is_none_or(|leaves| at < leaves)
     }
 }
 
-/// When a cascade decides whether a cheap answer is good enough.
+/// How a cascade decides whether a cheap model's answers are good enough.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QualityGate {
-    /// The cheap answer is held until it has been rated.
+    /// Each answer of a cheaper model is withheld until it has been rated.
     Inline,
-    /// The answer streams at once; sampled ratings teach where to begin.
+    /// Answers are streamed at once; ratings of a sample determine the first step of later
+    /// requests.
     Learn,
 }
 
-/// Steps from a cheap model to costlier ones.
+/// A sequence of models, from a cheap one to more expensive ones.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Cascade {
     /// The models, cheapest first.
     pub steps: Vec<String>,
-    /// When the cascade decides.
+    /// How the cascade decides whether an answer is good enough.
     pub gate: QualityGate,
-    /// The fraction of answers that has to be good.
+    /// Fraction of answers that has to be rated good.
     pub quality: f64,
-    /// The step to begin with where nothing was learned, counted from zero.
+    /// Zero-based index of the first step while there are too few ratings.
     pub default_step: usize,
 }
 
-/// What one organisation may use.
+/// The permissions and the share of one organisation.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Organisation {
-    /// The versions that the organisation allows.
+    /// The versions that may serve the organisation's requests.
     pub allow: BTreeSet<VersionName>,
     /// The cascades that the organisation may call.
     pub cascades: BTreeSet<String>,
-    /// The guaranteed part of the pool.
+    /// Guaranteed fraction of the capacity.
     pub share: f64,
 }
 
-/// A plain service behind the router.
+/// A service behind the router that is not a model.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// The methods whose requests may be repeated.
+    /// The HTTP methods whose requests may be retried.
     pub repeatable: BTreeSet<String>,
-    /// The methods whose requests are billed.
+    /// The HTTP methods whose requests are billed.
     pub billed: BTreeSet<String>,
-    /// The price of one billed request, in millionths of a credit.
+    /// Price of a billed request in millionths of a credit.
     pub cost_micros: u64,
 }
 
 impl Bundle {
-    /// Reads and checks a bundle file.
+    /// Reads and validates a bundle file; returns the bundle and its text.
     pub fn load(file: &Path) -> Result<(Self, String)> {
         let document = Document::load(file)?;
         let bundle = Self::check(&document)?;
         Ok((bundle, document.text().to_owned()))
     }
 
-    /// Reads and checks a bundle's text, as it comes from the store or from a peer.
+    /// Parses and validates a bundle's text from the store or a peer.
     pub fn parse(text: &str) -> Result<Self> {
         Self::check(&Document::new(Path::new("bundle"), text))
     }
@@ -124,15 +124,15 @@
     fn check(document: &Document) -> Result<Self> {
         document.read(|root| {
             if document.text().len() > MAX_BUNDLE_BYTES {
-                let message = format!("a bundle may have {MAX_BUNDLE_BYTES} bytes at the most");
+                let message = format!("a bundle may have {MAX_BUNDLE_BYTES} bytes at most");
                 document.add(0, message);
             }
             let partner = root.parsed("partner", NAME_EXPECTED, plain_name);
-            let models = named(root.sections("model", read_model));
+            let models = by_name(root.sections("model", read_model));
             let cascades =
-                named(root.sections("cascade", |cascade| read_cascade(cascade, &models)));
+                by_name(root.sections("cascade", |cascade| read_cascade(cascade, &models)));
             let organisations = read_organisations(root, &models, &cascades);
-            let services = named(root.sections("service", read_service));
+            let services = by_name(root.sections("service", read_service));
             Some(Self {
                 partner: partner?,
                 models,
@@ -143,7 +143,7 @@
         })
     }
 
-    /// Returns a version's description.
+    /// Returns the description of a version.
     pub fn version(&self, name: &VersionName) -> Option<&Version> {
         self.models.get(&name.model)?.versions.get(&name.version)
     }
@@ -158,13 +158,13 @@
     is_plain_name(text).then(|| text.to_owned())
 }
 
-fn named<T>(values: Vec<(String, T)>) -> BTreeMap<String, T> {
+fn by_name<T>(values: Vec<(String, T)>) -> BTreeMap<String, T> {
     values.into_iter().collect()
 }
 
 fn read_model(section: &Section<'_>) -> Option<(String, Model)> {
     let name = section.parsed("name", NAME_EXPECTED, plain_name);
-    let versions = named(section.sections("version", read_version));
+    let versions = by_name(section.sections("version", read_version));
     let incumbent = section.text("incumbent");
     if let Some(incumbent) = &incumbent
         && !versions.contains_key(incumbent)
@@ -216,16 +216,16 @@
         models.contains_key(step).then(|| step.to_owned())
     });
     if steps.is_empty() {
-        section.fault("steps", "a cascade needs one step at the least");
+        section.fault("steps", "a cascade needs at least one step");
     }
     let gate = section.parsed("gate", "`inline` or `learn`", |text| match text {
         "inline" => Some(QualityGate::Inline),
         "learn" => Some(QualityGate::Learn),
         _ => None,
     });
-    let quality = section.fraction("quality", DEFAULT_QUALITY_PERCENT);
-    let last = u64::try_from(steps.len().max(1)).unwrap_or(1);
-    let default_step = section.number("default_step", 0, 0..last);
+    let quality = section.fraction("quality", DEFAULT_QUALITY_FRACTION);
+    let step_count = u64::try_from(steps.len().max(1)).unwrap_or(1);
+    let default_step = section.number("default_step", 0, 0..step_count);
     let default_step = usize::try_from(default_step?).ok();
     let cascade = Cascade {
         steps,
@@ -260,34 +260,37 @@
     cascades: &BTreeMap<String, Cascade>,
 ) -> BTreeMap<String, Organisation> {
     const SHARE_TOLERANCE: f64 = 1e-9;
-    let mut shares = 0.0;
+    let mut share_sum = 0.0;
     let organisations = root.sections("organisation", |section| {
         let name = section.parsed("name", NAME_EXPECTED, plain_name);
-        let allow = read_allowed(section, models);
-        let called = section.parsed_list("cascades", "a cascade of this bundle", |cascade| {
+        let allow = read_allowed_versions(section, models);
+        let callable = section.parsed_list("cascades", "a cascade of this bundle", |cascade| {
             cascades.contains_key(cascade).then(|| cascade.to_owned())
         });
-        for cascade in &called {
+        for cascade in &callable {
             check_steps_allowed(section, cascade, &cascades[cascade], &allow);
         }
         let share = section.fraction("share", 0.0)?;
-        shares += share;
-        if shares > 1.0 + SHARE_TOLERANCE {
+        share_sum += share;
+        if share_sum > 1.0 + SHARE_TOLERANCE {
             section.fault("share", "the shares add up to more than the whole");
         }
         Some((
             name?,
             Organisation {
                 allow,
-                cascades: called.into_iter().collect(),
+                cascades: callable.into_iter().collect(),
                 share,
             },
         ))
     });
-    named(organisations)
+    by_name(organisations)
 }
 
-fn read_allowed(section: &Section<'_>, models: &BTreeMap<String, Model>) -> BTreeSet<VersionName> {
+fn read_allowed_versions(
+    section: &Section<'_>,
+    models: &BTreeMap<String, Model>,
+) -> BTreeSet<VersionName> {
     let is_known = |name: &VersionName| {
         models
             .get(&name.model)
@@ -308,8 +311,9 @@
 ) {
     for step in &cascade.steps {
         if !allow.iter().any(|version| version.model == *step) {
-            let message =
-                format!("cascade `{name}` steps to `{step}`, of which no version is allowed here");
+            let message = format!(
+                "cascade `{name}` steps to `{step}`, but the organisation allows no version of it"
+            );
             section.fault("cascades", message);
         }
     }
--- a/src/change.rs
+++ b/src/change.rs
@@ -1,9 +1,8 @@
-//! The change log: what operators changed, in order, signed.
+//! The change log: the operators' changes, in order and signed.
 //!
-//! Each partner has one append-only log in the store. Creating entry n+1 *is* the
-//! change, so that of racing operators one wins, and an entry of higher generation
-//! always replaces one of lower. All functions here are free of I/O. See
-//! `docs/design/changes.md`.
+//! Each partner has one append-only log in the store. Creating entry n+1 *is* the change, so one of
+//! several racing operators wins, and an entry with a higher generation always replaces one with a
+//! lower generation. All functions here are free of I/O. See `docs/design/changes.md`.
 
 use crate::bundle::Bundle;
 use crate::clock::WallTime;
@@ -13,17 +12,17 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The percentage at which a roll-out reaches every session.
-const WHOLE: u8 = 100;
+/// Percentage at which a roll-out includes all sessions.
+const FULL_PERCENT: u8 = 100;
 
-/// The position of an entry in a partner's log; zero stands before the first entry.
+/// Position of an entry in a partner's log; zero precedes the first entry.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct Generation(pub u64);
 
 impl Generation {
-    /// Returns the generation that follows.
+    /// Returns the following generation.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
@@ -35,10 +34,10 @@
     }
 }
 
-/// The public keys of a partner's operators, by operator.
+/// The public keys of a partner's operators, by operator name.
 pub type OperatorKeys = BTreeMap<String, PublicKey>;
 
-/// What an operator asks for.
+/// A change requested by an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum Action {
@@ -49,26 +48,26 @@
         /// The author's signature over the digest.
         signature: String,
     },
-    /// Signs the proposed bundle off, which puts it into force.
+    /// Signs off the proposed bundle, which puts it into force.
     Sign {
         /// The digest of the bundle's text.
         digest: String,
         /// The signer's signature over the digest.
         signature: String,
     },
-    /// Moves a model's roll-out to a stage.
+    /// Sets the stage of a model's roll-out.
     Roll {
         /// The version that is rolled out.
         version: VersionName,
-        /// The part of sessions that it serves, of a hundred.
+        /// The percentage of sessions that it serves.
         percent: u8,
     },
-    /// Takes a version out of service for good.
+    /// Takes a version out of service permanently.
     Withdraw {
         /// The version.
         version: VersionName,
     },
-    /// Lifts a suspension that the exposure guard made.
+    /// Lifts a suspension by the exposure guard.
     Lift {
         /// The version.
         version: VersionName,
@@ -87,7 +86,7 @@
     }
 }
 
-/// A bundle with the signature of its author, and of its signer once it is signed off.
+/// The signatures of a bundle: its author's, and a second operator's once it is signed off.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Approval {
     /// The digest of the bundle's text.
@@ -96,56 +95,55 @@
     pub author: String,
     /// The author's signature over the digest.
     pub author_signature: String,
-    /// The operator who signed the bundle off, with the signature over the digest.
+    /// The operator who signed the bundle off, and that operator's signature over the digest.
     pub sign_off: Option<(String, String)>,
 }
 
 /// The stage of a model's roll-out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollout {
-    /// The version that served before; none means the bundle's incumbent.
+    /// The version that is being replaced; none means the bundle's incumbent.
     pub from: Option<String>,
     /// The version that is rolled out.
     pub to: String,
-    /// The part of sessions that `to` serves, of a hundred.
+    /// The percentage of sessions that `to` serves.
     pub percent: u8,
 }
 
-/// All that a partner's log amounts to after one of its entries.
+/// The complete state that results from a partner's log up to one of its entries.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ControlState {
-    /// The bundle that waits for its sign-off.
+    /// The bundle that awaits its sign-off.
     pub proposed: Option<Approval>,
     /// The bundle in force.
     pub in_force: Option<Approval>,
     /// The roll-outs by model.
     pub rollouts: BTreeMap<String, Rollout>,
-    /// The versions that were taken out of service; the set only grows.
+    /// The versions that are permanently out of service; the set only grows.
     pub withdrawn: BTreeSet<VersionName>,
-    /// The generation at which a version's suspension was lifted last.
+    /// The generation of the newest lift of each version's suspension.
     pub lifted: BTreeMap<VersionName, Generation>,
 }
 
 impl ControlState {
-    /// Returns the generation at which a version's suspension was lifted last, the first of all if
-    /// it never was.
+    /// Returns the generation of the newest lift of a version's suspension, zero if there was none.
     pub fn newest_lift(&self, version: &VersionName) -> Generation {
         self.lifted.get(version).copied().unwrap_or_default()
     }
 }
 
-/// One entry of a log: the action, who asked for it, and the whole resulting state.
+/// One entry of a change log: the action, its operator and the complete resulting state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeEntry {
     /// The partner whose log the entry belongs to.
     pub partner: String,
     /// The entry's position.
     pub generation: Generation,
-    /// A random id by which a writer knows its own entry after a lost answer.
+    /// A random id by which a writer recognises its own entry after the store's answer was lost.
     pub operation: String,
-    /// The operator.
+    /// The operator who made the change.
     pub operator: String,
-    /// When the operator asked, by the operator's clock.
+    /// Time of the change by the operator's clock.
     pub at: WallTime,
     /// The action.
     pub action: Action,
@@ -153,7 +151,7 @@
     pub state: ControlState,
 }
 
-/// An entry's exact text with its signature; the text is what was signed.
+/// The exact text of an entry, which is what was signed, and its signature.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SignedEntry {
     /// The entry in JSON.
@@ -170,26 +168,29 @@
         Self { entry, signature }
     }
 
-    /// Reads the entry without checking it, for reports only.
+    /// Parses the entry without verifying its signature; for reports only.
     pub fn parse_unverified(&self) -> Result<ChangeEntry> {
-        serde_json::from_str(&self.entry)
-            .map_err(|err| Error::Refused(format!("the log holds an unreadable entry: {err}")))
+        serde_json::from_str(&self.entry).map_err(|err| {
+            Error::Refused(format!(
+                "the change log contains an unreadable entry: {err}"
+            ))
+        })
     }
 
-    /// Returns the entry if a known operator of the partner signed it and its bundle
-    /// was signed off by a second one.
+    /// Returns the entry if a known operator of the partner signed it and two operators signed the
+    /// bundle in force.
     pub fn verify(&self, partner: &str, operators: &OperatorKeys) -> Result<ChangeEntry> {
         let entry = self.parse_unverified()?;
         if entry.partner != partner {
             return Err(Error::Refused(format!(
-                "the entry belongs to `{}`",
+                "the entry belongs to partner `{}`",
                 entry.partner
             )));
         }
         let key = operators.get(&entry.operator);
         if !key.is_some_and(|key| key.verifies(self.entry.as_bytes(), &self.signature)) {
             return Err(Error::Refused(format!(
-                "entry {} carries no valid signature of `{}`",
+                "entry {} has no valid signature of `{}`",
                 entry.generation, entry.operator
             )));
         }
@@ -201,15 +202,17 @@
 }
 
 fn verify_approval(approval: &Approval, operators: &OperatorKeys) -> Result<()> {
-    let signed = |operator: &String, signature: &str| {
+    let has_signed = |operator: &String, signature: &str| {
         let key = operators.get(operator);
         key.is_some_and(|key| key.verifies(approval.digest.as_bytes(), signature))
     };
-    let two_operators = approval
+    let has_second_signature = approval
         .sign_off
         .as_ref()
-        .is_some_and(|(signer, signature)| *signer != approval.author && signed(signer, signature));
-    if two_operators && signed(&approval.author, &approval.author_signature) {
+        .is_some_and(|(signer, signature)| {
+            *signer != approval.author && has_signed(signer, signature)
+        });
+    if has_second_signature && has_signed(&approval.author, &approval.author_signature) {
         return Ok(());
     }
     Err(Error::Refused(format!(
@@ -218,19 +221,20 @@
     )))
 }
 
-/// Decides whether an entry replaces the present one.
+/// Decides whether an entry replaces the current one.
 ///
-/// Only a higher generation does, and none that would put a withdrawn version back.
-pub fn supersedes(new: &ChangeEntry, present: Option<&ChangeEntry>) -> bool {
-    present.is_none_or(|present| {
-        new.generation > present.generation
-            && new.state.withdrawn.is_superset(&present.state.withdrawn)
+/// Only an entry with a higher generation does, and none that would return a withdrawn version to
+/// service.
+pub fn supersedes(new: &ChangeEntry, current: Option<&ChangeEntry>) -> bool {
+    current.is_none_or(|current| {
+        new.generation > current.generation
+            && new.state.withdrawn.is_superset(&current.state.withdrawn)
     })
 }
 
-/// Returns the state that follows from an action, or why the action is refused.
+/// Returns the state after an action, or an error with the reason why the action is refused.
 ///
-/// `bundle` is the bundle in force, or the proposed one when it is being signed.
+/// `bundle` is the bundle in force, or the proposed one if the action signs it off.
 pub fn next_state(
     state: &ControlState,
     operator: &str,
@@ -253,10 +257,10 @@
             next.proposed = None;
             next.in_force = Some(approval);
             next.rollouts
-                .retain(|model, rollout| describes(bundle, model, rollout));
+                .retain(|model, rollout| contains_target(bundle, model, rollout));
         }
         Action::Roll { version, percent } => {
-            check_roll(state, version, *percent, bundle)?;
+            check_rollout(state, version, *percent, bundle)?;
             next.rollouts
                 .insert(version.model.clone(), next_stage(state, version, *percent));
         }
@@ -297,13 +301,14 @@
     })
 }
 
-fn describes(bundle: Option<&Bundle>, model: &str, rollout: &Rollout) -> bool {
+/// Tells whether a bundle contains the version that a roll-out introduces.
+fn contains_target(bundle: Option<&Bundle>, model: &str, rollout: &Rollout) -> bool {
     bundle
         .and_then(|bundle| bundle.models.get(model))
         .is_some_and(|model| model.versions.contains_key(&rollout.to))
 }
 
-fn check_roll(
+fn check_rollout(
     state: &ControlState,
     version: &VersionName,
     percent: u8,
@@ -316,11 +321,13 @@
         )));
     }
     if state.withdrawn.contains(version) {
-        return Err(Error::Refused(format!("`{version}` is withdrawn for good")));
+        return Err(Error::Refused(format!(
+            "`{version}` is permanently withdrawn"
+        )));
     }
-    if percent > WHOLE {
+    if percent > FULL_PERCENT {
         return Err(Error::Refused(format!(
-            "a stage of {percent} % is above the whole"
+            "a stage of {percent} % is above 100 %"
         )));
     }
     Ok(())
@@ -328,8 +335,8 @@
 
 fn next_stage(state: &ControlState, version: &VersionName, percent: u8) -> Rollout {
     let from = match state.rollouts.get(&version.model) {
-        // A roll-out that reached every session is what the next one starts from.
-        Some(rollout) if rollout.percent == WHOLE && rollout.to != version.version => {
+        // A completed roll-out is the starting point of the next one.
+        Some(rollout) if rollout.percent == FULL_PERCENT && rollout.to != version.version => {
             Some(rollout.to.clone())
         }
         Some(rollout) => rollout.from.clone(),
--- a/src/change_log.rs
+++ b/src/change_log.rs
@@ -1,4 +1,4 @@
-//! Reads and appends a partner's change log in the store.
+//! Reads a partner's change log in the store and appends to it.
 
 use crate::bundle::Bundle;
 use crate::change::{
@@ -10,9 +10,9 @@
 use crate::store::layout::{bundle_key, change_key, change_prefix, head_key};
 use crate::store::{Condition, Store, StoreError, StoreResult, WriteOutcome, create_settled};
 
-const AUDIT_PAGE: usize = 200;
+const AUDIT_PAGE_ENTRIES: usize = 200;
 
-/// A partner's log, as one operator sees it.
+/// Access to a partner's change log in the store.
 #[derive(Debug)]
 pub struct ChangeLog<'a> {
     store: &'a dyn Store,
@@ -21,7 +21,7 @@
 }
 
 impl<'a> ChangeLog<'a> {
-    /// Makes a view of a partner's log.
+    /// Creates access to the log of a partner with the given operators.
     pub fn new(store: &'a dyn Store, partner: &'a str, operators: &'a OperatorKeys) -> Self {
         Self {
             store,
@@ -30,27 +30,27 @@
         }
     }
 
-    /// Reads the newest valid entry and the last generation that is taken.
+    /// Returns the newest valid entry and the last used generation.
     ///
-    /// The head is only a hint, so entries behind it are looked for too. An entry that
-    /// is not valid takes its place, but nothing follows from it.
+    /// The head is only a hint, so newer entries are read too. An invalid entry uses up its
+    /// generation but has no effect.
     pub async fn newest(&self) -> Result<(Option<ChangeEntry>, Generation)> {
-        let hint = read_head(self.store, self.partner)
+        let head_hint = read_head(self.store, self.partner)
             .await
             .map_err(read_error)?
             .0;
-        let first = hint.max(Generation(1));
+        let first = head_hint.max(Generation(1));
         let mut newest = None;
         let mut next = first;
         while let Some(signed) = self.read(next).await? {
             newest = signed.verify(self.partner, self.operators).ok().or(newest);
             next = next.next();
         }
-        let taken = Generation(next.0 - 1);
+        let last_used = Generation(next.0 - 1);
         if newest.is_none() {
             newest = self.newest_before(first).await?;
         }
-        Ok((newest, taken))
+        Ok((newest, last_used))
     }
 
     async fn read(&self, generation: Generation) -> Result<Option<SignedEntry>> {
@@ -59,7 +59,7 @@
             .map_err(read_error)
     }
 
-    /// Reads backwards to the newest valid entry before a generation.
+    /// Returns the newest valid entry before a generation.
     async fn newest_before(&self, generation: Generation) -> Result<Option<ChangeEntry>> {
         for earlier in (1..generation.0).rev() {
             let signed = self.read(Generation(earlier)).await?;
@@ -72,16 +72,16 @@
         Ok(None)
     }
 
-    /// Appends an action and returns its entry.
+    /// Appends an action to the log; returns its entry.
     ///
     /// # Errors
     ///
-    /// [`Error::Refused`] if the action is not allowed or another operator's change
-    /// came between; [`Error::OutcomeUnknown`] if the store's answer was lost and
-    /// could not be read back.
+    /// [`Error::Refused`] if the action is not allowed or conflicts with a concurrent change;
+    /// [`Error::OutcomeUnknown`] if the store's answer was lost and the entry could not be read
+    /// back.
     pub async fn append(&self, action: Action, key: &OperatorKey, now: Now) -> Result<ChangeEntry> {
-        let (newest, taken) = self.newest().await?;
-        let generation = taken.next();
+        let (newest, last_used) = self.newest().await?;
+        let generation = last_used.next();
         let state = newest.map(|entry| entry.state).unwrap_or_default();
         let bundle = self.bundle_for(&state, &action).await?;
         let next = next_state(&state, &key.operator, &action, generation, bundle.as_ref())?;
@@ -96,7 +96,9 @@
         };
         self.create(&entry, key).await?;
         if let Err(err) = advance_head(self.store, self.partner, generation).await {
-            log::warn!("the head was not raised, agents find the entry all the same: {err}");
+            log::warn!(
+                "failed to advance the head of the change log; agents find the entry without it: {err}"
+            );
         }
         Ok(entry)
     }
@@ -107,7 +109,7 @@
         let store_key = change_key(self.partner, entry.generation);
         match create_settled(self.store, &store_key, &value).await {
             Ok(WriteOutcome::Written) => Ok(()),
-            Ok(WriteOutcome::Conflict(found)) => Err(came_between(entry.generation, found)),
+            Ok(WriteOutcome::Conflict(found)) => Err(conflict_error(entry.generation, found)),
             Err(StoreError::Unreachable(reason) | StoreError::Refused(reason)) => {
                 Err(Error::Unreachable(reason))
             }
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Reads the bundle that an action is checked against.
+    /// Reads the bundle against which an action is validated.
     async fn bundle_for(&self, state: &ControlState, action: &Action) -> Result<Option<Bundle>> {
         let digest = match action {
             Action::Sign { digest, .. } => Some(digest),
@@ -131,7 +133,7 @@
         text.map(|text| Bundle::parse(&text)).transpose()
     }
 
-    /// Stores a bundle's text under its digest; storing it again does no harm.
+    /// Stores a bundle's text under its digest; idempotent.
     pub async fn store_bundle(&self, digest: &str, text: &str) -> Result<()> {
         match create_settled(self.store, &bundle_key(digest), text.as_bytes()).await {
             Ok(_) => Ok(()),
@@ -139,12 +141,13 @@
                 Err(Error::Unreachable(reason))
             }
             Err(StoreError::AnswerLost(reason)) => Err(Error::Unreachable(format!(
-                "the bundle's text may not be stored: {reason}"
+                "the bundle's text may or may not have been stored: {reason}"
             ))),
         }
     }
 
-    /// Reads the whole log in order, without refusing entries whose signer is unknown.
+    /// Returns all entries in order, including those with an unknown signer or an invalid
+    /// signature.
     pub async fn audit(&self) -> Result<Vec<SignedEntry>> {
         let prefix = change_prefix(self.partner);
         let mut after = String::new();
@@ -152,7 +155,7 @@
         loop {
             let page = self
                 .store
-                .list(&prefix, &after, AUDIT_PAGE)
+                .list(&prefix, &after, AUDIT_PAGE_ENTRIES)
                 .await
                 .map_err(read_error)?;
             let Some((last, _)) = page.last() else {
@@ -166,16 +169,16 @@
     }
 }
 
-fn came_between(generation: Generation, found: Option<crate::store::Versioned>) -> Error {
+fn conflict_error(generation: Generation, found: Option<crate::store::Versioned>) -> Error {
     let other = found
         .and_then(|found| serde_json::from_slice::<SignedEntry>(&found.value).ok())
         .and_then(|signed| signed.parse_unverified().ok());
-    let whose = other.map_or_else(
+    let winner = other.map_or_else(
         || "another change".to_owned(),
         |entry| format!("`{}` by {} at {}", entry.action, entry.operator, entry.at),
     );
     Error::Refused(format!(
-        "{whose} came between as generation {generation}; look and try again"
+        "{winner} took generation {generation} first; review it and try again"
     ))
 }
 
@@ -183,7 +186,8 @@
     Error::Unreachable(err.to_string())
 }
 
-/// Reads the hint to the newest generation, with the revision of the hint.
+/// Reads the head, a hint to the newest generation; returns it with its revision in the store, zero
+/// if there is none.
 pub async fn read_head(store: &dyn Store, partner: &str) -> StoreResult<(Generation, u64)> {
     let found = store.get(&head_key(partner)).await?;
     Ok(found.map_or((Generation(0), 0), |found| {
@@ -192,7 +196,7 @@
     }))
 }
 
-/// Raises the hint, unless it is as high already.
+/// Advances the head to a generation, unless it is there already or further.
 pub async fn advance_head(
     store: &dyn Store,
     partner: &str,
@@ -213,8 +217,8 @@
         .map(|_| ())
 }
 
-/// Parses an entry. What cannot be parsed still takes its place in the log, as an entry
-/// that no signature verifies.
+/// Parses an entry. A malformed one still uses up its generation, as an entry whose signature is
+/// invalid.
 fn parse_entry(value: &[u8]) -> SignedEntry {
     serde_json::from_slice(value).unwrap_or_else(|_| SignedEntry {
         entry: String::from_utf8_lossy(value).into_owned(),
@@ -232,7 +236,7 @@
     Ok(found.map(|found| parse_entry(&found.value)))
 }
 
-/// Reads a bundle's text by its digest; a text with another digest does not count.
+/// Reads a bundle's text by its digest; a stored text that does not match the digest is ignored.
 pub async fn read_bundle(store: &dyn Store, digest: &str) -> StoreResult<Option<String>> {
     let found = store.get(&bundle_key(digest)).await?;
     let text = found.and_then(|found| String::from_utf8(found.value).ok());
--- a/src/decision_record.rs
+++ b/src/decision_record.rs
@@ -1,82 +1,84 @@
-//! Records of decisions, from which `gatepier explain` tells what became of a request.
+//! Records of decisions, from which `gatepier explain` reports what happened to a request.
 
 use crate::clock::WallTime;
 use crate::outcome::Outcome;
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, VecDeque};
 
-/// What was decided about one request, by one box.
+/// One box's decisions about one request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DecisionRecord {
-    /// The request.
+    /// The id of the request.
     pub request_id: String,
     /// The organisation that sent it.
     pub organisation: String,
-    /// The box that decided.
+    /// The box that made the decisions.
     pub box_name: String,
-    /// When the request came.
+    /// Time at which the request arrived.
     pub at: WallTime,
-    /// What the caller asked for: a model, a cascade or a service.
+    /// The requested model, cascade or service.
     pub asked_for: String,
-    /// The generation of the change log that was in force.
+    /// The generation of the change log in force.
     pub generation: u64,
-    /// The versions that were weighed, each with what ruled it out.
+    /// The versions that were considered, each with the reason that ruled it out, if any.
     pub weighed: Vec<(String, Option<String>)>,
-    /// The tries, in order.
+    /// The tries in order.
     pub tries: Vec<TryRecord>,
     /// The HTTP status of the answer.
     pub status: u16,
-    /// Whether the request ran, as far as is known.
+    /// Whether the request ran at an upstream, as far as is known.
     pub outcome: Outcome,
     /// Why the request was refused, if it was.
     pub reason: Option<String>,
-    /// The tokens generated.
+    /// Number of generated tokens.
     pub tokens: u64,
-    /// The price, in millionths of a credit.
+    /// Price in millionths of a credit.
     pub cost_micros: u64,
-    /// Whether a bill was made out.
+    /// Whether the request was billed.
     pub billed: bool,
-    /// Milliseconds from the request to the end of its answer.
+    /// Time from the request's arrival to the end of its answer in milliseconds.
     pub took_ms: u64,
 }
 
 /// One try of a request on one upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TryRecord {
-    /// The version, or the service.
+    /// The version or service that was tried.
     pub ran_on: String,
     /// The upstream's name.
     pub upstream: String,
-    /// What came of it.
+    /// The result of the try.
     pub result: String,
 }
 
-/// The newest records, up to a limit.
+/// Ring buffer of the newest records.
 #[derive(Debug)]
 pub struct RecordRing {
-    limit: usize,
+    capacity: usize,
+    /// The request ids of the records, oldest first.
     order: VecDeque<String>,
+    /// The records by request id, oldest first.
     records: HashMap<String, Vec<DecisionRecord>>,
 }
 
 impl RecordRing {
-    /// Makes a ring for a number of records.
-    pub fn new(limit: usize) -> Self {
+    /// Creates a ring buffer for a number of records.
+    pub fn new(capacity: usize) -> Self {
         Self {
-            limit,
+            capacity,
             order: VecDeque::new(),
             records: HashMap::new(),
         }
     }
 
-    /// Adds a record and drops the oldest beyond the limit.
+    /// Adds a record and drops the oldest ones beyond the capacity.
     pub fn push(&mut self, record: DecisionRecord) {
         self.order.push_back(record.request_id.clone());
         self.records
             .entry(record.request_id.clone())
             .or_default()
             .push(record);
-        while self.order.len() > self.limit {
+        while self.order.len() > self.capacity {
             self.drop_oldest();
         }
     }
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,36 +1,36 @@
-//! Errors that an operator or a caller of the library can act on.
+//! Errors on which an operator or a caller of the library can act.
 //!
-//! Binaries wrap these with `eyre`; the exit code of the command line follows
-//! from [`Error::exit_code`], as `docs/OPERATIONS.md` lists them.
+//! Binaries wrap these with `eyre`; [`Error::exit_code`] determines the exit code of the command
+//! line. `docs/OPERATIONS.md` lists the exit codes.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// Exit code of a command that did what it was asked.
+/// Exit code of a command that succeeded.
 pub const EXIT_DONE: i32 = 0;
 /// Exit code of a command that failed and changed nothing.
 pub const EXIT_FAILED: i32 = 1;
-/// Exit code of a command whose input was faulty.
+/// Exit code of a command with invalid input.
 pub const EXIT_FAULTY_INPUT: i32 = 2;
-/// Exit code of a command whose outcome is not known, because the store's
-/// answer was lost and could not be read back.
+/// Exit code of a command whose outcome is unknown because the store's answer was lost and the
+/// change could not be read back.
 pub const EXIT_OUTCOME_UNKNOWN: i32 = 3;
 
-/// One fault in a file, with its place, so that all faults can be reported together.
+/// An error in a file with its position, so that all errors can be reported together.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finding {
-    /// The file the fault stands in.
+    /// The file that contains the error.
     pub file: PathBuf,
-    /// The line, counted from one.
+    /// The one-based line number.
     pub line: usize,
-    /// The column in characters, counted from one.
+    /// The one-based column in characters.
     pub column: usize,
     /// What is wrong and what is expected instead.
     pub message: String,
 }
 
 impl Finding {
-    /// Makes a finding at a byte offset of a file's text.
+    /// Creates a finding at a byte offset in a file's text.
     pub fn at(file: &Path, text: &str, offset: usize, message: String) -> Self {
         let before = text.get(..offset).unwrap_or(text);
         Self {
@@ -49,27 +49,27 @@
     }
 }
 
-/// What can go wrong in the library, by what the reader of the message can do about it.
+/// An error of the library, classified by what the reader of the message can do about it.
 #[derive(Debug)]
 pub enum Error {
     /// The file could not be read or written.
     File(PathBuf, std::io::Error),
-    /// Files or arguments are faulty; each finding names its place.
+    /// Files contain errors, each of which is reported with its position.
     Faulty(Vec<Finding>),
-    /// An argument of the command line is faulty.
+    /// A command line argument is invalid.
     Usage(String),
-    /// The store, a peer or an upstream could not be reached, so nothing was changed.
+    /// The store, a peer or an upstream could not be reached; nothing was changed.
     Unreachable(String),
     /// A write may or may not have taken effect.
     OutcomeUnknown(String),
-    /// The change was refused, with the reason.
+    /// The change was refused, for the given reason.
     Refused(String),
-    /// A key, signature or certificate is not acceptable.
+    /// A key, signature or certificate is invalid.
     Key(String),
 }
 
 impl Error {
-    /// Returns the exit code with which the command line ends for this error.
+    /// Returns the exit code of the command line for this error.
     pub fn exit_code(&self) -> i32 {
         match self {
             Self::Faulty(_) | Self::Usage(_) | Self::Key(_) => EXIT_FAULTY_INPUT,
--- a/src/evidence.rs
+++ b/src/evidence.rs
@@ -1,8 +1,7 @@
-//! What all boxes together have seen of each version.
+//! Counts of each version's answers, pooled from all boxes.
 //!
-//! Each router counts since its start. Counts only grow and are kept by reporter,
-//! so that merging them in any order, twice or late gives the same sums. See
-//! `docs/design/exposure.md`.
+//! Each router counts since its start. Counts only grow and are kept by reporter, so merging them
+//! late, twice or in any order gives the same sums. See `docs/design/exposure.md`.
 
 use crate::change::Generation;
 use crate::clock::WallTime;
@@ -10,12 +9,12 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Counts of one version's answers. Each only grows.
+/// Counts of one version's answers. None of them ever decreases.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct AnswerCounts {
-    /// Answers given, whole or not.
+    /// Answers, complete or not.
     pub served: u64,
-    /// Answers that the upstream failed to give.
+    /// Answers that failed at the upstream.
     pub failed: u64,
     /// Answers rated good.
     pub good: u64,
@@ -24,7 +23,7 @@
 }
 
 impl AnswerCounts {
-    /// Takes the greater of each count.
+    /// Raises each count to the greater of the two.
     pub fn merge(&mut self, other: &Self) {
         self.served = self.served.max(other.served);
         self.failed = self.failed.max(other.failed);
@@ -32,7 +31,7 @@
         self.bad = self.bad.max(other.bad);
     }
 
-    /// Adds each count.
+    /// Adds each count of `other`.
     pub fn add(&mut self, other: &Self) {
         self.served += other.served;
         self.failed += other.failed;
@@ -40,7 +39,7 @@
         self.bad += other.bad;
     }
 
-    /// Returns what was added since an earlier state of the same counts.
+    /// Returns the growth since an earlier state of the same counts.
     pub fn since(&self, earlier: &Self) -> Self {
         Self {
             served: self.served.saturating_sub(earlier.served),
@@ -51,61 +50,62 @@
     }
 }
 
-/// What a count is about.
+/// What counts refer to.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EvidenceSubject {
     /// The version.
     pub version: VersionName,
     /// The organisation.
     pub organisation: String,
-    /// The operators' lift under which the request was sent, the first generation of all if
-    /// there was none: what was counted before a lift says nothing of the version after it.
+    /// Generation of the newest lift of the version's suspension when the request was sent, zero if
+    /// there was none: counts from before a lift say nothing about the version after it.
     pub lift: Generation,
 }
 
-/// One reporter's counts about one subject.
+/// One reporter's counts of one subject.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvidenceCell {
-    /// The router's box with the router's start, so that a new life counts anew.
+    /// The router's box and start time, so that each incarnation of a router has counts of its own.
     pub reporter: String,
-    /// What the counts are about.
+    /// What the counts refer to.
     pub subject: EvidenceSubject,
-    /// The counts.
+    /// The counts since the reporter's start.
     pub counts: AnswerCounts,
 }
 
 /// The counts of all reporters.
 #[derive(Debug, Clone, Default)]
 pub struct Evidence {
+    /// By reporter and subject: the counts and the number of their last change.
     cells: BTreeMap<(String, EvidenceSubject), (AnswerCounts, u64)>,
-    version: u64,
+    last_change: u64,
 }
 
 impl Evidence {
-    /// Merges cells and tells whether any was new.
+    /// Merges cells; returns whether any of them changed the counts.
     pub fn merge(&mut self, cells: &[EvidenceCell]) -> bool {
-        let before = self.version;
+        let before = self.last_change;
         for cell in cells {
             let key = (cell.reporter.clone(), cell.subject.clone());
             let (counts, changed) = self.cells.entry(key).or_default();
             let mut merged = *counts;
             merged.merge(&cell.counts);
             if merged != *counts {
-                self.version += 1;
+                self.last_change += 1;
                 *counts = merged;
-                *changed = self.version;
+                *changed = self.last_change;
             }
         }
-        self.version != before
+        self.last_change != before
     }
 
     /// Returns the number of the last change, for [`Self::changed_since`].
-    pub fn version(&self) -> u64 {
-        self.version
+    pub fn last_change(&self) -> u64 {
+        self.last_change
     }
 
-    /// Returns the cells that changed after a number, up to a limit, and the number
-    /// to ask with next.
+    /// Returns the cells that changed after the change with the number `after`, up to a limit, and
+    /// the number for the next call.
     pub fn changed_since(&self, after: u64, limit: usize) -> (Vec<EvidenceCell>, u64) {
         let mut changed: Vec<_> = self
             .cells
@@ -128,11 +128,11 @@
         (changed.into_iter().map(cell).collect(), next)
     }
 
-    /// Returns the sums over all reporters, by version, of what was counted under the
-    /// operators' newest lift of each.
+    /// Returns the sums over all reporters by version, of the counts under the newest lift of each
+    /// version's suspension.
     ///
-    /// Counts travel: some from before a lift are only heard of after it. They are told from
-    /// new ones by the lift that they carry and not by when they come.
+    /// Counts from before a lift can arrive after it. They are distinguished from new ones by the
+    /// lift that they carry, not by when they arrive.
     pub fn by_version(
         &self,
         lifted: &BTreeMap<VersionName, Generation>,
@@ -162,12 +162,12 @@
 pub struct Suspension {
     /// The version.
     pub version: VersionName,
-    /// The generation of the change log at which the guard decided.
+    /// Generation of the change log at the time of the decision.
     pub generation: Generation,
-    /// The box that decided first, as far as this box has heard.
+    /// The box that decided first, as far as this box knows.
     pub decided_by: String,
-    /// When it decided.
+    /// Time of the decision.
     pub at: WallTime,
-    /// What it decided on.
+    /// The counts that led to the decision, as a sentence.
     pub reason: String,
 }
--- a/src/fingerprint.rs
+++ b/src/fingerprint.rs
@@ -1,25 +1,24 @@
-//! What tells that two sends are the same request.
+//! Fingerprints, which are equal for repeated sends of the same request.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use xxhash_rust::xxh3::Xxh3;
 
-/// A hash of what makes a request: every send of it has an id of its own, but the same caller,
-/// method, host, target and body.
+/// A hash of a request's caller, method, host, target and body, which all sends of the request have
+/// in common although each has an id of its own.
 ///
-/// Headers are left out, since deadlines and the events that a resumed stream has differ
-/// between sends.
+/// Headers are left out, since deadlines and the position of a resumed stream differ between sends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint(pub u128);
 
-/// The parts of a request by which it is told from others.
+/// The parts of a request that identify it.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestIdentity<'a> {
-    /// The organisation that sent it; none where no keys are asked for.
+    /// The organisation that sent the request; none if no API key is required.
     pub caller: Option<&'a str>,
     /// The method.
     pub method: &'a str,
-    /// The host that it was sent to.
+    /// The host to which it was sent.
     pub host: &'a str,
     /// The path with its query.
     pub target: &'a str,
@@ -28,7 +27,7 @@
 }
 
 impl Fingerprint {
-    /// Hashes what makes a request.
+    /// Computes the fingerprint of a request.
     pub fn of(identity: RequestIdentity<'_>) -> Self {
         let mut hash = Xxh3::new();
         let texts = [identity.method, identity.host, identity.target];
@@ -36,7 +35,8 @@
         let caller = identity.caller.map(str::as_bytes);
         hash.update(&[u8::from(caller.is_some())]);
         for part in [caller.unwrap_or_default()].iter().chain(&texts) {
-            // The length keeps the end of one part from being the start of the next.
+            // The length prefix keeps parts from running into each other, such as `ab` + `c` and
+            // `a` + `bc`.
             hash.update(&(part.len() as u64).to_le_bytes());
             hash.update(part);
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,7 @@
-//! gatepier: a model-aware router for versions and cascades.
+//! gatepier: a router for model versions, cascades of models and plain services.
 //!
-//! The library holds all that decides, as functions of state, event and present
-//! time, and the processes around it. `docs/design/overview.md` tells how the
-//! parts fit together.
+//! The library contains the decision logic, as functions of state, event and present time, and the
+//! processes built on it. `docs/design/overview.md` describes how the parts fit together.
 
 pub mod agent;
 pub mod billing_ledger;
--- a/src/name.rs
+++ b/src/name.rs
@@ -1,9 +1,9 @@
-//! The names of models and versions.
+//! Names of models and versions.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A version of a model, written `model/version`.
+/// The full name of a model's version, written `model/version`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct VersionName {
@@ -14,7 +14,7 @@
 }
 
 impl VersionName {
-    /// Reads a name of the form `model/version`.
+    /// Parses a name of the form `model/version`.
     pub fn parse(text: &str) -> Option<Self> {
         let (model, version) = text.split_once('/')?;
         (is_plain_name(model) && is_plain_name(version)).then(|| Self {
@@ -44,9 +44,9 @@
     }
 }
 
-/// Tells whether a name may stand in store keys, headers and metrics unescaped.
+/// Tells whether a name can be used unescaped in store keys, headers and metrics.
 pub fn is_plain_name(text: &str) -> bool {
-    const LONGEST_NAME: usize = 64;
-    let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    !text.is_empty() && text.len() <= LONGEST_NAME && text.chars().all(plain)
+    const MAX_NAME_BYTES: usize = 64;
+    let is_plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+    !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.chars().all(is_plain)
 }
--- a/src/outcome.rs
+++ b/src/outcome.rs
@@ -1,20 +1,21 @@
-//! What a caller is told about a request that got no answer.
+//! The outcome and the reason that a caller gets when a request is refused.
 //!
-//! Only [`Dispatch`] can make a `not-run`, and it cannot once a byte may have gone
-//! to an upstream; so the rule stands in one place. See `docs/design/outcomes.md`.
+//! Once a request is dispatched to upstreams, only [`Dispatch`] can give [`Outcome::NotRun`], and it
+//! cannot after a byte may have been sent; so this rule is enforced in one place. See
+//! `docs/design/outcomes.md`.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::marker::PhantomData;
 use std::time::Duration;
 
-/// Whether a request ran, as far as is known.
+/// Whether a request ran at an upstream, as far as is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The request ran, and its answer is whole.
+    /// The request ran, and its answer is complete.
     Done,
-    /// No byte of the request went to an upstream, and none will.
+    /// No byte of the request was sent to an upstream, and none will be.
     NotRun,
     /// The request may have run.
     Unknown,
@@ -30,32 +31,32 @@
     }
 }
 
-/// Nothing of the request has gone to an upstream.
+/// State of a [`Dispatch`]: no byte of the request has been sent to an upstream.
 #[derive(Debug)]
 pub struct Unsent;
 
-/// A byte of the request may have gone to an upstream.
+/// State of a [`Dispatch`]: bytes of the request may have been sent to an upstream.
 #[derive(Debug)]
 pub struct MaybeSent;
 
-/// The life of a request towards its upstreams.
+/// Whether a request may have been sent to an upstream, tracked as a type state.
 #[derive(Debug)]
 pub struct Dispatch<S> {
     state: PhantomData<S>,
 }
 
 impl Dispatch<Unsent> {
-    /// Begins the life of a request.
+    /// Starts with a request that has not been sent.
     pub fn new() -> Self {
         Self { state: PhantomData }
     }
 
-    /// Records that the request is about to be written to an upstream.
+    /// Records that the request is about to be sent to an upstream.
     pub fn send(self) -> Dispatch<MaybeSent> {
         Dispatch { state: PhantomData }
     }
 
-    /// Returns what a refusal may say: the request has not run.
+    /// Returns the outcome for a refusal: the request has not run.
     pub fn refusal_outcome(&self) -> Outcome {
         Outcome::NotRun
     }
@@ -68,30 +69,30 @@
 }
 
 impl Dispatch<MaybeSent> {
-    /// Goes back to unsent on the proof that the try wrote no byte, since opening
-    /// the connection failed.
-    pub fn never_connected(self, _proof: ConnectFailed) -> Dispatch<Unsent> {
+    /// Reverts to unsent, given the proof that the try wrote no byte because its connection was
+    /// never opened.
+    pub fn revert_to_unsent(self, _proof: ConnectFailed) -> Dispatch<Unsent> {
         Dispatch { state: PhantomData }
     }
 
-    /// Returns what a refusal may say: whether the request ran is not known.
+    /// Returns the outcome for a refusal: it is unknown whether the request ran.
     pub fn refusal_outcome(&self) -> Outcome {
         Outcome::Unknown
     }
 }
 
-/// The proof that a try wrote no byte to its upstream.
+/// Proof that a try wrote no byte to its upstream, because its connection was never opened.
 #[derive(Debug)]
 pub struct ConnectFailed(());
 
 impl ConnectFailed {
-    /// Takes the proof out of a client's error, if it holds one.
+    /// Returns the proof if the HTTP client's error implies that nothing was sent.
     pub fn from_send_error(err: &awc::error::SendRequestError) -> Option<Self> {
         crate::http_client::proves_unsent(err).then_some(Self(()))
     }
 }
 
-/// The tries of one request, and what a refusal may say after them.
+/// The tries of one request so far, and the outcome for a refusal after them.
 #[derive(Debug, Default)]
 pub struct DispatchLog {
     maybe_sent: Option<Dispatch<MaybeSent>>,
@@ -99,14 +100,14 @@
 }
 
 impl DispatchLog {
-    /// Begins a try, which may write to an upstream from now on.
+    /// Begins a try, which may write to its upstream from now on.
     pub fn begin_try(&self) -> Dispatch<MaybeSent> {
         Dispatch::new().send()
     }
 
     /// Records that a try wrote no byte.
     pub fn record_unsent(&mut self, dispatch: Dispatch<MaybeSent>, proof: ConnectFailed) {
-        self.unsent = dispatch.never_connected(proof);
+        self.unsent = dispatch.revert_to_unsent(proof);
     }
 
     /// Records that a try may have written to its upstream.
@@ -114,7 +115,7 @@
         self.maybe_sent = Some(dispatch);
     }
 
-    /// Returns what a refusal may say now.
+    /// Returns the outcome for a refusal at this point.
     pub fn refusal_outcome(&self) -> Outcome {
         match &self.maybe_sent {
             Some(dispatch) => dispatch.refusal_outcome(),
@@ -129,44 +130,44 @@
 pub enum Reason {
     /// The caller's credential is missing or unknown.
     NoCredential,
-    /// The request cannot be read.
+    /// The request is malformed.
     BadRequest,
-    /// The request is larger than the limit.
+    /// The request exceeds the size limit.
     TooLarge,
-    /// No model, cascade or service by this name may be used by the organisation.
+    /// The organisation may not use a model, cascade or service with this name, or none exists.
     NotAllowed,
-    /// Every version that is allowed is out of service.
+    /// All versions that the organisation allows are out of service.
     NoVersion,
-    /// No upstream takes the request.
+    /// No upstream is available for the request.
     NoUpstream,
-    /// The organisation's share and the lent capacity are used up.
+    /// The organisation's guaranteed share and the capacity lent by others are used up.
     Overloaded,
     /// The deadline passed.
     Deadline,
-    /// Claims cannot be taken now.
+    /// The idempotency key cannot be claimed at the moment.
     NoClaim,
-    /// The key is held by a request that has not ended.
+    /// A request with the same idempotency key is running, or how it ended is unknown.
     AlreadyRunning,
-    /// The key was used by a request whose answer is not kept any more.
+    /// A request with the same idempotency key has finished, and its answer is no longer stored.
     AlreadyDone,
-    /// The claims that would tell were lost.
+    /// The claims that would show whether the idempotency key was used are lost.
     ClaimsLost,
     /// The upstream failed.
     UpstreamFailed,
-    /// Every upstream that could serve has asked this router for rest.
+    /// All upstreams that could serve have asked this router to back off.
     Resting,
-    /// Upstreams crash that run this request.
+    /// The request is quarantined because it crashes the upstreams that run it.
     CrashesUpstreams,
-    /// Upstreams crashed that ran this request, and another send of it is tried alone.
+    /// The request is suspected of crashing upstreams, and another send of it is on trial.
     OnTrial,
-    /// The router has not heard from its agent yet.
+    /// The router has received no configuration from its agent yet.
     NotReady,
-    /// The router closes the connection, and reads nothing on it any more.
+    /// The router is closing the connection and reads no more requests from it.
     ConnectionClosed,
 }
 
 impl Reason {
-    /// Returns the name of the reason in answers, logs and metrics.
+    /// Returns the name of the reason as used in answers, logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::NoCredential => "no-credential",
@@ -212,7 +213,7 @@
         }
     }
 
-    /// Returns after how many seconds it makes sense to come back, if it ever does.
+    /// Returns the delay in seconds before a retry can succeed; none if retrying is pointless.
     pub fn retry_after_seconds(self) -> Option<u64> {
         match self {
             Self::NoCredential | Self::BadRequest | Self::TooLarge | Self::NotAllowed => None,
@@ -229,23 +230,24 @@
     }
 }
 
-/// A refusal, as the caller is told it.
+/// A refusal, as sent to the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refused {
-    /// Whether the request ran, as far as is known.
+    /// Whether the request ran at an upstream, as far as is known.
     pub outcome: Outcome,
-    /// Why it was refused.
+    /// Why the request was refused.
     pub reason: Reason,
-    /// A sentence for people.
+    /// Human-readable explanation.
     pub message: String,
-    /// When it makes sense to come back, where more is known than the reason tells.
+    /// Delay before a retry, if it is known more exactly than the default of the reason.
     pub retry_after: Option<Duration>,
 }
 
 impl Refused {
-    /// Returns after how many whole seconds it makes sense to come back, if it ever does.
+    /// Returns the delay in whole seconds before a retry can succeed; none if retrying is
+    /// pointless.
     pub fn retry_after_seconds(&self) -> Option<u64> {
-        let known = self.retry_after.map(|after| after.as_secs_f64().ceil());
+        let known = self.retry_after.map(|delay| delay.as_secs_f64().ceil());
         match known {
             Some(seconds) => Some(seconds as u64),
             None => self.reason.retry_after_seconds(),
--- a/src/session.rs
+++ b/src/session.rs
@@ -1,8 +1,7 @@
-//! Session tokens, by which a session keeps its version on every box.
+//! Session tokens, which keep a session on its versions on every box.
 //!
-//! The token travels with the caller, signed with a key that all boxes of a
-//! partner share, so no box has to remember it and any box may be replaced. See
-//! `docs/design/sessions.md`.
+//! The caller carries the token, signed with a key that all boxes of a partner share, so that no
+//! box has to store it and any box can be replaced. See `docs/design/sessions.md`.
 
 use crate::name::VersionName;
 use base64::Engine as _;
@@ -12,13 +11,13 @@
 use sha2::Sha256;
 use std::collections::BTreeMap;
 
-/// The request and response header that carries a session's token.
+/// The request and response header that carries the session token.
 pub const SESSION_HEADER: &str = "gatepier-session";
 
 const KEY_BYTES: usize = 32;
-const TOKEN_BYTES_LIMIT: usize = 4096;
+const MAX_TOKEN_BYTES: usize = 4096;
 
-/// The key with which a partner's boxes sign session tokens.
+/// Key with which a partner's boxes sign session tokens.
 #[derive(Clone, PartialEq, Eq)]
 pub struct SessionKey([u8; KEY_BYTES]);
 
@@ -29,12 +28,12 @@
 }
 
 impl SessionKey {
-    /// Reads a key from base64.
+    /// Parses a key in base64.
     pub fn parse(text: &str) -> Option<Self> {
         BASE64.decode(text).ok()?.try_into().ok().map(Self)
     }
 
-    /// Makes a new key and returns it in base64.
+    /// Generates a random key and returns it in base64.
     pub fn generate_base64() -> String {
         let key: [u8; KEY_BYTES] = rand::random();
         BASE64.encode(key)
@@ -47,19 +46,19 @@
     }
 }
 
-/// What a session's token says.
+/// The content of a session token.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Session {
     /// The session's id.
     pub id: String,
     /// The organisation that the session belongs to.
     pub organisation: String,
-    /// The version that the session keeps, by model.
+    /// The pinned version of each model.
     pub versions: BTreeMap<String, String>,
 }
 
 impl Session {
-    /// Begins a session.
+    /// Begins a session of an organisation, with a random id.
     pub fn begin(organisation: &str) -> Self {
         let id = uuid::Uuid::new_v4().simple().to_string();
         Self {
@@ -69,9 +68,9 @@
         }
     }
 
-    /// Reads a token and checks its signature and its organisation.
+    /// Parses a token; returns none if its signature is invalid or its organisation is another one.
     pub fn from_token(token: &str, organisation: &str, key: &SessionKey) -> Option<Self> {
-        if token.len() > TOKEN_BYTES_LIMIT {
+        if token.len() > MAX_TOKEN_BYTES {
             return None;
         }
         let (body, mac) = token.split_once('.')?;
@@ -82,7 +81,7 @@
         (session.organisation == organisation).then_some(session)
     }
 
-    /// Returns the session's token.
+    /// Returns the signed token of the session.
     pub fn to_token(&self, key: &SessionKey) -> String {
         let body = serde_json::to_vec(self).expect("a session has only plain fields");
         let mac = key.mac(&body).finalize().into_bytes();
@@ -93,7 +92,7 @@
         )
     }
 
-    /// Returns the version that the session keeps of a model.
+    /// Returns the version of a model to which the session is pinned.
     pub fn pinned_version(&self, model: &str) -> Option<VersionName> {
         let version = self.versions.get(model)?;
         Some(VersionName {
@@ -102,7 +101,7 @@
         })
     }
 
-    /// Records the version that serves the session from now on.
+    /// Pins the session to a version.
     pub fn pin_version(&mut self, version: &VersionName) {
         self.versions
             .insert(version.model.clone(), version.version.clone());
--- a/src/version_guard.rs
+++ b/src/version_guard.rs
@@ -1,28 +1,27 @@
-//! The exposure guard: a sequential test that suspends a version that turned bad.
+//! The exposure guard: a sequential test that suspends a version that has turned bad.
 //!
-//! For each version the guard adds up how much likelier the answers seen are under
-//! "bad" than under "as tolerated", and never lets the sum fall below zero, so
-//! that a long good past does not hide a change (Page's CUSUM test). The expected
-//! number of answers to a false alarm is at least the exponential of the threshold.
-//! See `docs/design/exposure.md`.
+//! For each version the guard sums the log-likelihood ratios of the answers, under "bad" against
+//! "as tolerated", and never lets a sum fall below zero, so that a long good past does not hide a
+//! change (Page's CUSUM test). The expected number of answers to a false alarm is at least the
+//! exponential of the threshold. See `docs/design/exposure.md`.
 
 use crate::change::Generation;
 use crate::evidence::AnswerCounts;
 use crate::name::VersionName;
 use std::collections::BTreeMap;
 
-/// What the guard takes for tolerable, and how sure it has to be.
+/// Which fractions of bad and failed answers are tolerable, and how certain an alarm has to be.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct GuardPolicy {
-    /// The tolerated part of answers rated bad.
+    /// Tolerated fraction of rated answers that are rated bad.
     pub tolerated_bad: f64,
-    /// The tolerated part of answers that fail.
+    /// Tolerated fraction of answers that fail.
     pub tolerated_failed: f64,
-    /// How many times the tolerated part of bad answers a version must show.
+    /// The fraction of bad answers that the test looks for, as a multiple of the tolerated one.
     pub ratio_bad: f64,
-    /// How many times the tolerated part of failures a version must show.
+    /// The fraction of failures that the test looks for, as a multiple of the tolerated one.
     pub ratio_failed: f64,
-    /// The expected number of answers to a false alarm.
+    /// Expected number of answers until a false alarm.
     pub answers_to_false_alarm: f64,
 }
 
@@ -47,24 +46,26 @@
     Failed,
 }
 
-/// The state of one version's tests.
+/// State of the two CUSUM tests of one version.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-struct Sums {
-    seen: AnswerCounts,
-    bad: f64,
-    failed: f64,
+struct CusumState {
+    /// The counts that the sums include.
+    included: AnswerCounts,
+    bad_sum: f64,
+    failed_sum: f64,
 }
 
-/// The guard's tests of all versions.
+/// The sequential tests of all versions.
 #[derive(Debug, Clone, Default)]
 pub struct VersionGuard {
     policy: GuardPolicy,
-    sums: BTreeMap<VersionName, Sums>,
+    states: BTreeMap<VersionName, CusumState>,
+    /// The newest lift of each version's suspension that the states follow.
     lifted: BTreeMap<VersionName, Generation>,
 }
 
 impl VersionGuard {
-    /// Makes a guard with a policy.
+    /// Creates a guard with a policy.
     pub fn new(policy: GuardPolicy) -> Self {
         Self {
             policy,
@@ -72,67 +73,70 @@
         }
     }
 
-    /// Takes the newest counts of a version and decides whether it has turned bad.
+    /// Updates the tests of a version with its newest counts; returns an alarm if the version has
+    /// turned bad.
     pub fn observe(&mut self, version: &VersionName, counts: &AnswerCounts) -> Option<Alarm> {
         self.observe_with_policy(self.policy, version, counts)
     }
 
-    /// Does the same by another policy, where what is tolerable was measured.
+    /// Like [`Self::observe`], with a policy of the caller's, such as one whose tolerated fractions
+    /// were measured at another version.
     pub fn observe_with_policy(
         &mut self,
         policy: GuardPolicy,
         version: &VersionName,
         counts: &AnswerCounts,
     ) -> Option<Alarm> {
-        let sums = self.sums.entry(version.clone()).or_default();
-        let new = counts.since(&sums.seen);
-        sums.seen = *counts;
-        let whole = new.served.saturating_sub(new.failed);
-        sums.bad = step(
-            sums.bad,
+        let state = self.states.entry(version.clone()).or_default();
+        let new = counts.since(&state.included);
+        state.included = *counts;
+        let succeeded = new.served.saturating_sub(new.failed);
+        state.bad_sum = updated_sum(
+            state.bad_sum,
             new.bad,
             new.good,
             policy.tolerated_bad,
             policy.ratio_bad,
         );
-        sums.failed = step(
-            sums.failed,
+        state.failed_sum = updated_sum(
+            state.failed_sum,
             new.failed,
-            whole,
+            succeeded,
             policy.tolerated_failed,
             policy.ratio_failed,
         );
         let threshold = policy.answers_to_false_alarm.ln();
-        if sums.bad >= threshold {
+        if state.bad_sum >= threshold {
             return Some(Alarm::Bad);
         }
-        (sums.failed >= threshold).then_some(Alarm::Failed)
+        (state.failed_sum >= threshold).then_some(Alarm::Failed)
     }
 
-    /// Begins anew with each version that operators have lifted since, whose counts begin
-    /// anew as well.
+    /// Resets the tests of each version whose suspension operators have lifted since the last call;
+    /// the counts of such a version restart at zero too.
     pub fn reset_lifted(&mut self, lifted: &BTreeMap<VersionName, Generation>) {
         let known = &self.lifted;
-        self.sums
+        self.states
             .retain(|version, _| lifted.get(version) == known.get(version));
         self.lifted.clone_from(lifted);
     }
 
-    /// Forgets what raised the alarm, so that a version is suspended once for it.
+    /// Resets the sums of a version after an alarm, so that the same answers do not suspend it
+    /// twice.
     pub fn reset(&mut self, version: &VersionName) {
-        if let Some(sums) = self.sums.get_mut(version) {
-            *sums = Sums {
-                seen: sums.seen,
-                ..Sums::default()
+        if let Some(state) = self.states.get_mut(version) {
+            *state = CusumState {
+                included: state.included,
+                ..CusumState::default()
             };
         }
     }
 }
 
-/// Adds the log-likelihood ratio of a batch of answers to a sum that stays above zero.
-fn step(sum: f64, bad: u64, good: u64, tolerated: f64, ratio: f64) -> f64 {
-    const HIGHEST_PART: f64 = 0.95;
-    let alternative = (tolerated * ratio).min(HIGHEST_PART);
+/// Adds the log-likelihood ratio of a batch of answers to a sum, with zero as the lower bound.
+fn updated_sum(sum: f64, bad: u64, good: u64, tolerated: f64, ratio: f64) -> f64 {
+    const MAX_ALTERNATIVE_FRACTION: f64 = 0.95;
+    let alternative = (tolerated * ratio).min(MAX_ALTERNATIVE_FRACTION);
     let per_bad = (alternative / tolerated).ln();
     let per_good = ((1.0 - alternative) / (1.0 - tolerated)).ln();
     (sum + per_bad * bad as f64 + per_good * good as f64).max(0.0)
--- a/tests/bundles.rs
+++ b/tests/bundles.rs
@@ -1,4 +1,4 @@
-//! An accepted change is in force everywhere within seconds and never reverts.
+//! Tests that an accepted change takes effect on all boxes within seconds and is never reverted.
 
 mod common;
 
@@ -14,7 +14,7 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// The time within which a change has to be in force on every box, by the letter.
+/// Required time within which a change takes effect on every box.
 const IN_FORCE_LIMIT: Duration = Duration::from_secs(13);
 
 fn two_halls() -> BenchPlan {
@@ -26,6 +26,7 @@
 
 const ALL_BOXES: [&str; 4] = ["ikeja-1", "ikeja-2", "lekki-1", "lekki-2"];
 
+/// Returns a withdrawal in the name of an operator, signed with the given key.
 fn forged_entry(key: &OperatorKey, operator: &str, generation: u64) -> SignedEntry {
     let version = VersionName::parse("small/s1").unwrap();
     let withdrawn = BTreeSet::from([version.clone()]);
@@ -44,7 +45,8 @@
     SignedEntry::sign(&entry, key)
 }
 
-async fn withdrawn_everywhere(bench: &Bench, names: &[&str]) {
+/// Waits until the given boxes refuse the version that the tests withdraw.
+async fn wait_withdrawn(bench: &Bench, names: &[&str]) {
     for name in names {
         bench
             .wait_for(
@@ -55,8 +57,8 @@
     }
 }
 
-/// Starts twenty changes at once and returns how many of them were done.
-async fn race(bench: &Bench) -> usize {
+/// Makes twenty changes at the same time; returns how many of them succeeded.
+async fn make_racing_changes(bench: &Bench) -> usize {
     let percents: Vec<String> = (0..20).map(|percent| percent.to_string()).collect();
     let calls = percents
         .iter()
@@ -75,12 +77,12 @@
 }
 
 cases! {
-    withdrawn_version_gets_nothing_new_anywhere => async {
+    withdrawn_version_gets_no_new_request_on_any_box => async {
         let bench = Bench::start(two_halls()).await;
-        let began = Instant::now();
+        let started = Instant::now();
         bench.operate_ok(0, &["withdraw", "small/s2"]).await;
-        withdrawn_everywhere(&bench, &ALL_BOXES).await;
-        expect_that!(began.elapsed(), lt(IN_FORCE_LIMIT));
+        wait_withdrawn(&bench, &ALL_BOXES).await;
+        expect_that!(started.elapsed(), lt(IN_FORCE_LIMIT));
         let before = bench.version_runs().get("small/s2").copied().unwrap_or(0);
         for name in ALL_BOXES {
             for _ in 0..10 {
@@ -90,17 +92,17 @@
         expect_that!(bench.version_runs().get("small/s2").copied().unwrap_or(0), eq(before));
     };
 
-    racing_operators_get_one_winner_for_each_generation => async {
+    one_of_several_racing_changes_wins_each_generation => async {
         let bench = Bench::start(BenchPlan::default()).await;
-        let done = race(&bench).await;
+        let succeeded = make_racing_changes(&bench).await;
         let audit: serde_json::Value =
             serde_json::from_str(&bench.operate_ok(0, &["--json", "audit"]).await).unwrap();
         let entries = audit.as_array().unwrap();
-        expect_that!(entries.len(), eq(done + 2), "two entries put the bundle into force");
+        expect_that!(entries.len(), eq(succeeded + 2), "two entries put the bundle into force");
         expect_that!(entries.iter().all(|entry| entry["valid"] == true), eq(true));
     };
 
-    writer_whose_answer_is_lost_reads_its_own_change_back => async {
+    change_succeeds_by_reading_it_back_if_the_answer_of_the_store_is_lost => async {
         let bench = Bench::start(BenchPlan::default()).await;
         bench.set_store(StoreFaults { lose_answers: 1, ..StoreFaults::default() });
         let output = bench.operate(0, &["withdraw", "small/s2"]).await;
@@ -108,7 +110,7 @@
         bench.wait_generation(&["ikeja-1", "ikeja-2"], 3).await;
     };
 
-    store_that_is_down_fails_the_change_and_says_so => async {
+    change_fails_with_an_exit_code_while_the_store_is_down => async {
         let bench = Bench::start(BenchPlan::default()).await;
         bench.set_store(StoreFaults { down: true, ..StoreFaults::default() });
         let output = bench.operate(0, &["withdraw", "small/s2"]).await;
@@ -116,7 +118,7 @@
         expect_that!(bench.ask("ikeja-1", "small").await.status, eq(200));
     };
 
-    entry_of_an_unknown_signer_is_not_taken => async {
+    entry_of_an_unknown_signer_is_ignored => async {
         let mut bench = Bench::start(BenchPlan::default()).await;
         let stranger = OperatorKey::generate("stranger");
         for (operator, generation) in [("stranger", 3), ("ada", 4)] {
@@ -125,13 +127,13 @@
             bench.store.write(&change_key(PARTNER, Generation(generation)), &value);
             bench.store.write(&head_key(PARTNER), generation.to_string().as_bytes());
         }
-        bench.wait_for("the entries were seen and refused", async || {
+        bench.wait_for("the entries have been read and refused", async || {
             bench.log_count("an entry of the change log is not taken") > 0
         }).await;
         let status = bench.status_of("ikeja-1").await.unwrap();
         expect_that!(status["generation"].as_u64(), some(eq(2)));
         expect_that!(bench.ask("ikeja-1", "small").await.status, eq(200));
-        // The forged entries hold up neither operators nor an agent that starts anew.
+        // The forged entries block neither operators nor a restarted agent.
         bench.agent("ikeja-1").kill();
         bench.start_agent("ikeja-1");
         bench.wait_generation(&["ikeja-1"], 2).await;
@@ -149,29 +151,29 @@
         expect_that!(bench.ask("ikeja-1", "small").await.status, eq(503));
     };
 
-    change_reaches_a_hall_that_is_cut_from_the_store => async {
+    change_reaches_a_hall_that_cannot_reach_the_store => async {
         let bench = Bench::start(two_halls()).await;
         bench.proxy.set("store:lekki", LinkMode::Silent);
-        let began = Instant::now();
+        let started = Instant::now();
         bench.operate_ok(0, &["withdraw", "small/s2"]).await;
-        withdrawn_everywhere(&bench, &ALL_BOXES).await;
-        expect_that!(began.elapsed(), lt(IN_FORCE_LIMIT));
+        wait_withdrawn(&bench, &ALL_BOXES).await;
+        expect_that!(started.elapsed(), lt(IN_FORCE_LIMIT));
     };
 
-    cut_hall_serves_on_and_catches_up_once_healed => async {
+    partitioned_hall_keeps_serving_and_catches_up_after_the_partition => async {
         let bench = Bench::start(two_halls()).await;
         let cut = ["store:lekki", "list:lekki", "ikeja>lekki", "lekki>ikeja"];
         cut.iter().for_each(|link| bench.proxy.set(link, LinkMode::Silent));
         bench.operate_ok(0, &["withdraw", "small/s2"]).await;
-        withdrawn_everywhere(&bench, &["ikeja-1", "ikeja-2"]).await;
+        wait_withdrawn(&bench, &["ikeja-1", "ikeja-2"]).await;
         expect_that!(bench.ask("lekki-1", "small").await.status, eq(200));
         cut.iter().for_each(|link| bench.proxy.set(link, LinkMode::Open));
-        let began = Instant::now();
-        withdrawn_everywhere(&bench, &["lekki-1", "lekki-2"]).await;
-        expect_that!(began.elapsed(), lt(IN_FORCE_LIMIT));
+        let started = Instant::now();
+        wait_withdrawn(&bench, &["lekki-1", "lekki-2"]).await;
+        expect_that!(started.elapsed(), lt(IN_FORCE_LIMIT));
     };
 
-    box_that_starts_while_the_store_is_away_learns_from_a_peer => async {
+    box_started_during_a_store_outage_gets_the_changes_from_a_peer => async {
         let mut bench = Bench::start(two_halls()).await;
         bench.operate_ok(0, &["withdraw", "small/s2"]).await;
         bench.wait_generation(&ALL_BOXES, 3).await;
@@ -182,11 +184,11 @@
         bench.start_router("lekki-1");
         let files = bench.boxes["lekki-1"].files.clone();
         bench.wait_router_ready(&files).await;
-        bench.wait_for("it serves", async || bench.ask("lekki-1", "small").await.status == 200).await;
+        bench.wait_for("the box serves", async || bench.ask("lekki-1", "small").await.status == 200).await;
         expect_that!(bench.ask("lekki-1", "small/s2").await.status, eq(503));
     };
 
-    one_agent_of_each_hall_calls_the_store => async {
+    each_hall_has_exactly_one_hub => async {
         const SAMPLES: usize = 60;
         let plan = BenchPlan { halls: vec![("ikeja", 8), ("lekki", 8)], routers: false, ..BenchPlan::default() };
         let bench = Bench::start_without_bundle(plan).await;
@@ -194,26 +196,26 @@
             let statuses = bench.statuses().await;
             statuses.iter().filter(|status| status["is_hub"] == true).count()
         };
-        bench.wait_for("each hall has its hub", async || hubs().await == 2).await;
-        let mut most = 0;
+        bench.wait_for("each hall has a hub", async || hubs().await == 2).await;
+        let mut max_hubs = 0;
         for _ in 0..SAMPLES {
-            most = most.max(hubs().await);
+            max_hubs = max_hubs.max(hubs().await);
             actix_rt::time::sleep(Duration::from_millis(200)).await;
         }
-        expect_that!(most, eq(2));
+        expect_that!(max_hubs, eq(2));
     };
 
-    withdrawal_reaches_a_router_whose_agent_is_dead_or_frozen => async {
+    withdrawal_reaches_a_router_whose_agent_is_killed_or_frozen => async {
         let mut bench = Bench::start(two_halls()).await;
         bench.agent("ikeja-1").kill();
         bench.agent("lekki-1").freeze();
-        let began = Instant::now();
+        let started = Instant::now();
         bench.operate_ok(0, &["withdraw", "small/s2"]).await;
-        withdrawn_everywhere(&bench, &ALL_BOXES).await;
-        expect_that!(began.elapsed(), lt(IN_FORCE_LIMIT));
+        wait_withdrawn(&bench, &ALL_BOXES).await;
+        expect_that!(started.elapsed(), lt(IN_FORCE_LIMIT));
     };
 
-    router_that_starts_while_all_else_is_away_is_fed_by_its_agent => async {
+    router_started_without_store_and_box_list_gets_its_state_from_its_agent => async {
         let mut bench = Bench::start(BenchPlan::default()).await;
         bench.proxy.set("store:", LinkMode::Closed);
         bench.proxy.set("list:", LinkMode::Closed);
@@ -224,11 +226,11 @@
         expect_that!(bench.ask("ikeja-1", "small").await.status, eq(200));
     };
 
-    agent_that_starts_anew_does_not_take_its_router_back => async {
+    restarted_agent_with_older_state_does_not_revert_its_router => async {
         let mut bench = Bench::start(BenchPlan::default()).await;
         bench.operate_ok(0, &["withdraw", "small/s2"]).await;
-        withdrawn_everywhere(&bench, &["ikeja-1", "ikeja-2"]).await;
-        // The store goes back to before the withdrawal, as from an old backup.
+        wait_withdrawn(&bench, &["ikeja-1", "ikeja-2"]).await;
+        // Resets the store to its state before the withdrawal, as a restore of an old backup does.
         bench.store.write(&change_key(PARTNER, Generation(3)), b"{}");
         for name in ["ikeja-1", "ikeja-2"] {
             bench.agent(name).kill();
