--- a/src/agent.rs
+++ b/src/agent.rs
@@ -16,17 +16,17 @@
 mod shards;
 mod telemetry;
 
+use crate::box_list::ListClient;
 use crate::claim::message::UnrecordedFinish;
 use crate::claim::replica::Replica;
 use crate::claim::view::{Member, ShardId};
 use crate::clock::Now;
+use crate::decision_record::RecordRing;
 use crate::error::{Error, Result};
-use crate::guard::Guard;
-use crate::live::ListClient;
-use crate::record::RecordRing;
 use crate::settings::agent::AgentSettings;
 use crate::store::Store;
 use crate::store::etcd::EtcdStore;
+use crate::version_guard::VersionGuard;
 use crate::wire::message::{AgentStatus, ControlRequest, ControlResponse, Report, Update};
 use crate::wire::server::{Handler, serve};
 use crate::wire::tls::FleetTls;
@@ -64,7 +64,7 @@
     pending_segment: RefCell<Option<ledger_writer::PendingSegment>>,
     router_queues: RefCell<Vec<mpsc::Sender<Update>>>,
     records: RefCell<RecordRing>,
-    guard: RefCell<Guard>,
+    guard: RefCell<VersionGuard>,
     stopping: Cell<bool>,
     pulls_in_progress: RefCell<BTreeSet<std::net::SocketAddr>>,
 }
@@ -78,7 +78,7 @@
             box_name: settings.identity.name.clone(),
             incarnation: now.wall.0,
         };
-        let guard = Guard::new(settings.guard);
+        let guard = VersionGuard::new(settings.guard);
         Ok(Rc::new(Self {
             member,
             store: Box::new(EtcdStore::new(settings.store)),
--- a/src/agent/assignment.rs
+++ b/src/agent/assignment.rs
@@ -4,13 +4,13 @@
 //! Each agent computes the assignment by rendezvous hashing from the live list and from the peers
 //! that are in contact, so agents with the same information agree without communication.
 
+use crate::box_list::{AGENT_SERVICE, BoxList, BoxState, ListedBox};
 use crate::claim::view::{Member, ShardId};
-use crate::live::{AGENT_SERVICE, BoxState, ListedBox, LiveList};
 use std::cmp::Reverse;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Returns the agents of a list in order of preference for a duty.
-pub fn rank_agents<'a>(list: &'a LiveList, duty: &str, hall: Option<&str>) -> Vec<&'a ListedBox> {
+pub fn rank_agents<'a>(list: &'a BoxList, duty: &str, hall: Option<&str>) -> Vec<&'a ListedBox> {
     let wanted = |listed: &&ListedBox| {
         listed.state == BoxState::Live && hall.is_none_or(|hall| listed.hall == hall)
     };
@@ -29,7 +29,7 @@
 pub const CLOSELY_WATCHED_HUBS: usize = 3;
 
 /// Returns the agents of a hall in order of preference for the hub.
-pub fn hub_order<'a>(list: &'a LiveList, hall: &str) -> Vec<&'a ListedBox> {
+pub fn hub_order<'a>(list: &'a BoxList, hall: &str) -> Vec<&'a ListedBox> {
     const HUB_DUTY: &str = "hub";
     rank_agents(list, HUB_DUTY, Some(hall))
 }
@@ -41,7 +41,7 @@
 /// occasionally, so the second argument of `is_silent` selects the silence limit: true if the box
 /// is one of the first few.
 pub fn is_hub(
-    list: &LiveList,
+    list: &BoxList,
     hall: &str,
     own_name: &str,
     is_silent: impl Fn(&str, bool) -> bool,
@@ -58,7 +58,7 @@
 
 /// Returns whether a box is the preferred one of its hall for a duty, among those not silent.
 pub fn is_first(
-    list: &LiveList,
+    list: &BoxList,
     duty: &str,
     hall: &str,
     own_name: &str,
@@ -73,7 +73,7 @@
 /// Chooses the witness of a shard: an agent of the shard's home hall if one is available, otherwise
 /// one of any hall.
 pub fn choose_witness(
-    list: &LiveList,
+    list: &BoxList,
     shard: &ShardId,
     excluded: &[&str],
     live_member: impl Fn(&str) -> Option<Member>,
--- a/src/agent/crash_records.rs
+++ b/src/agent/crash_records.rs
@@ -13,7 +13,7 @@
     let mut state = agent.state.borrow_mut();
     let new_records: Vec<CrashRecord> = records
         .into_iter()
-        .filter(|record| state.crashes.take(record, now))
+        .filter(|record| state.crashes.merge_record(record, now))
         .collect();
     drop(state);
     if new_records.is_empty() {
--- a/src/agent/follow.rs
+++ b/src/agent/follow.rs
@@ -8,7 +8,7 @@
 use super::gossip;
 use super::gossip_state::AppliedEntry;
 use crate::change::{Generation, SignedEntry};
-use crate::change_log::{raise_head, read_bundle, read_entry, read_head};
+use crate::change_log::{advance_head, read_bundle, read_entry, read_head};
 use crate::clock::Now;
 use crate::evidence::Suspension;
 use crate::store::StoreResult;
@@ -74,7 +74,7 @@
     find_newest_valid_entry(agent, head).await?;
     let newest = agent.state.borrow().generation();
     if newest > head {
-        raise_head(store, partner, newest).await?;
+        advance_head(store, partner, newest).await?;
     }
     read_suspensions(agent).await?;
     Ok(revision)
@@ -201,7 +201,7 @@
 }
 
 /// Applies a list if it is newer, and sends it to the routers and to peers.
-pub fn apply_live_list(agent: &Rc<Agent>, list: crate::live::LiveList) {
+pub fn apply_live_list(agent: &Rc<Agent>, list: crate::box_list::BoxList) {
     if !agent.state.borrow_mut().merge_list(list) {
         return;
     }
--- a/src/agent/gossip_state.rs
+++ b/src/agent/gossip_state.rs
@@ -1,12 +1,12 @@
 //! State that agents replicate by gossip. Merges are commutative and idempotent, so order,
 //! repetition and delay of messages do not matter.
 
+use crate::box_list::BoxList;
 use crate::change::{ChangeEntry, Generation, SignedEntry, supersedes};
 use crate::claim::view::{Member, ShardId, View};
 use crate::clock::{Now, WallTime};
 use crate::crash_ledger::{CrashLedger, CrashRecord};
 use crate::evidence::{Evidence, Suspension};
-use crate::live::LiveList;
 use crate::name::VersionName;
 use crate::wire::message::{Newer, Summary};
 use serde::Serialize;
@@ -34,7 +34,7 @@
 #[derive(Debug, Default)]
 pub struct GossipState {
     applied: Option<AppliedEntry>,
-    list: Option<LiveList>,
+    list: Option<BoxList>,
     views: BTreeMap<ShardId, View>,
     suspensions: BTreeMap<VersionName, Suspension>,
     /// Counts reported by all routers.
@@ -68,12 +68,12 @@
     }
 
     /// Returns the live list.
-    pub fn list(&self) -> Option<&LiveList> {
+    pub fn list(&self) -> Option<&BoxList> {
         self.list.as_ref()
     }
 
     /// Replaces the live list if the given one is newer. Returns whether it was.
-    pub fn merge_list(&mut self, list: LiveList) -> bool {
+    pub fn merge_list(&mut self, list: BoxList) -> bool {
         if self
             .list
             .as_ref()
@@ -185,7 +185,7 @@
 
     /// Returns the crash records for peers and routers.
     pub fn crash_records(&self, now: Now) -> Vec<CrashRecord> {
-        self.crashes.most_telling(CRASH_RECORDS_PER_MESSAGE, now)
+        self.crashes.top_records(CRASH_RECORDS_PER_MESSAGE, now)
     }
 
     /// Returns the state that is newer here than in a peer's summary.
--- a/src/agent/ledger_writer.rs
+++ b/src/agent/ledger_writer.rs
@@ -2,10 +2,10 @@
 
 use super::Agent;
 use super::claims;
+use crate::billing_ledger::{MAX_SEGMENT_BILLS, Segment};
+use crate::box_list::AGENT_SERVICE;
 use crate::claim::message::{ReplicaMessage, UnrecordedFinish};
 use crate::claim::{Bill, ClaimKey};
-use crate::ledger::{SEGMENT_BILLS, Segment};
-use crate::live::AGENT_SERVICE;
 use crate::store::layout::segment_key;
 use crate::store::{StoreResult, WriteOutcome, create_settled};
 use crate::wire::message::ControlRequest;
@@ -70,13 +70,13 @@
     let replicas = agent.replicas.borrow();
     let mut bills: Vec<Bill> = Vec::new();
     for replica in replicas.values() {
-        bills.extend(replica.unrecorded_bills(SEGMENT_BILLS.saturating_sub(bills.len())));
+        bills.extend(replica.unrecorded_bills(MAX_SEGMENT_BILLS.saturating_sub(bills.len())));
     }
     let unrecorded_finishes = agent.unrecorded_finishes.borrow();
     let own_bills = unrecorded_finishes
         .iter()
         .filter_map(|unrecorded| unrecorded.finish.bill.clone());
-    bills.extend(own_bills.take(SEGMENT_BILLS));
+    bills.extend(own_bills.take(MAX_SEGMENT_BILLS));
     bills
 }
 
--- a/src/agent/shards.rs
+++ b/src/agent/shards.rs
@@ -95,7 +95,7 @@
     };
     let duty = shard.to_string();
     let silent = |name: &str| agent.peers.is_box_silent(name, now);
-    list.holds(&agent.member.box_name)
+    list.contains(&agent.member.box_name)
         && !agent.stopping.get()
         && is_first(list, &duty, &shard.hall, &agent.member.box_name, silent)
 }
@@ -110,7 +110,7 @@
 ) -> Option<Members> {
     let state = agent.state.borrow();
     let list = state.list()?;
-    if !list.holds(&agent.member.box_name) {
+    if !list.contains(&agent.member.box_name) {
         return None;
     }
     let mut excluded = excluded_boxes.to_vec();
@@ -324,7 +324,7 @@
     let state = agent.state.borrow();
     state
         .list()
-        .is_some_and(|list| list.revision >= view.list_revision && !list.holds(&member.box_name))
+        .is_some_and(|list| list.revision >= view.list_revision && !list.contains(&member.box_name))
 }
 
 /// Returns whether all members that held a shard's complete table are provably gone.
--- a/src/gateway/admit/request.rs
+++ b/src/gateway/admit/request.rs
@@ -3,7 +3,7 @@
 use super::prompt::Prompt;
 use super::routes::{Organisation, Route};
 use crate::clock::Now;
-use crate::crash_ledger::{Part, Standing};
+use crate::crash_ledger::{CrashRole, QuarantineState};
 use crate::fingerprint::Fingerprint;
 use crate::gateway::Gateway;
 use crate::gateway::answer::refusal::Execution;
@@ -236,16 +236,18 @@
             gw.quarantine.standing(self.fingerprint, now),
             self.trial.get(),
         ) {
-            (Standing::Clear, _) => Ok(()),
-            (Standing::Quarantined, _) => Err(NoAttempt::Quarantined),
+            (QuarantineState::Clear, _) => Ok(()),
+            (QuarantineState::Quarantined, _) => Err(NoAttempt::Quarantined),
             // This request holds the trial, and no upstream has run it yet.
-            (Standing::Suspect | Standing::OnTrial(_), QuarantineTrial::Open) => Ok(()),
-            (Standing::Suspect, QuarantineTrial::None | QuarantineTrial::Finished) => {
+            (QuarantineState::Suspect | QuarantineState::OnTrial(_), QuarantineTrial::Open) => {
+                Ok(())
+            }
+            (QuarantineState::Suspect, QuarantineTrial::None | QuarantineTrial::Finished) => {
                 gw.quarantine.begin_trial(self.fingerprint, now);
                 self.trial.set(QuarantineTrial::Open);
                 Ok(())
             }
-            (Standing::OnTrial(left), QuarantineTrial::None | QuarantineTrial::Finished) => {
+            (QuarantineState::OnTrial(left), QuarantineTrial::None | QuarantineTrial::Finished) => {
                 Err(NoAttempt::OnTrial(left))
             }
         }
@@ -259,8 +261,8 @@
     /// Records that a run of the request broke off, which ends its trial.
     pub fn record_broken_run(&self, gw: &Gateway, upstream: &Rc<Upstream>, now: Now) {
         let part = match self.is_on_trial() {
-            true => Part::OnTrial,
-            false => Part::Present,
+            true => CrashRole::OnTrial,
+            false => CrashRole::Concurrent,
         };
         let run = InterruptedRun {
             request: self.fingerprint,
--- a/src/gateway/admit/serve.rs
+++ b/src/gateway/admit/serve.rs
@@ -4,7 +4,7 @@
 use super::request::{AdmittedRequest, lets_router_choose};
 use super::routes::{Caller, Route, RouteTable};
 use crate::clock::Now;
-use crate::fingerprint::{Fingerprint, Identity};
+use crate::fingerprint::{Fingerprint, RequestIdentity};
 use crate::gateway::answer::buffered::{self, BufferedResponse};
 use crate::gateway::answer::refusal::{self, Execution, RefusalReason};
 use crate::gateway::answer::relay::Relay;
@@ -83,7 +83,7 @@
         .ok_or(RefusalReason::NoRoute)?
         .to_owned();
     let target = target_of(req);
-    let fingerprint = Fingerprint::of(Identity {
+    let fingerprint = Fingerprint::of(RequestIdentity {
         caller: organisation.as_ref().map(|found| found.name.as_str()),
         method: req.method().as_str(),
         host: host(req),
--- a/src/gateway/telemetry.rs
+++ b/src/gateway/telemetry.rs
@@ -11,7 +11,7 @@
 use super::peers::hub_poller::FetchError;
 use super::place::choose::PlacementChoice;
 use crate::clock::{Now, millis};
-use crate::crash_ledger::{AfterBreak, Part};
+use crate::crash_ledger::{CrashCheckResult, CrashRole};
 use crate::fingerprint::Fingerprint;
 use crate::metrics::Metrics;
 use opentelemetry::KeyValue;
@@ -164,15 +164,15 @@
     }
 
     /// Records the result of checking an upstream at which a run broke off.
-    pub fn record_upstream_check(&self, upstream: &Upstream, result: AfterBreak) {
+    pub fn record_upstream_check(&self, upstream: &Upstream, result: CrashCheckResult) {
         let instance = upstream.with_listed(|listed| listed.instance.clone());
         let upstream = instance.as_str();
         match result {
-            AfterBreak::Crashed => log::warn!(upstream; "the upstream has crashed"),
-            AfterBreak::Alive => {
+            CrashCheckResult::Crashed => log::warn!(upstream; "the upstream has crashed"),
+            CrashCheckResult::Alive => {
                 log::info!(upstream; "connections were lost, but the upstream accepts new ones")
             }
-            AfterBreak::Unreachable => log::info!(upstream; "the upstream is unreachable"),
+            CrashCheckResult::Unreachable => log::info!(upstream; "the upstream is unreachable"),
         }
     }
 
@@ -182,7 +182,7 @@
         log::warn!(
             upstream = instance.as_str(),
             fingerprint = run.request.to_string().as_str(),
-            on_trial = run.part == Part::OnTrial;
+            on_trial = run.part == CrashRole::OnTrial;
             "this request was running at an upstream when it crashed"
         );
     }
--- a/src/router/agent_link.rs
+++ b/src/router/agent_link.rs
@@ -4,9 +4,9 @@
 use super::context::RouterShared;
 use crate::bundle::Bundle;
 use crate::clock::Now;
+use crate::decision_record::DecisionRecord;
 use crate::evidence::Evidence;
 use crate::metrics::Metrics;
-use crate::record::DecisionRecord;
 use crate::routing::snapshot::Snapshot;
 use crate::wire::WireError;
 use crate::wire::client::WireClient;
@@ -136,7 +136,7 @@
 
 /// Applies an entry that the agent verified. An older entry, sent by a restarted agent, is ignored.
 fn apply_change(next: &mut Snapshot, entry: &crate::change::SignedEntry, bundle: Option<String>) {
-    let Ok(entry) = entry.peek() else {
+    let Ok(entry) = entry.parse_unverified() else {
         log::error!("the agent sent a change log entry that cannot be decoded");
         return;
     };
--- a/src/router/completions.rs
+++ b/src/router/completions.rs
@@ -12,9 +12,9 @@
 use super::sse::answer_usage;
 use super::stream_relay::StreamRelay;
 use super::trace::Trace;
-use crate::bundle::{Bundle, Cascade, Gate};
+use crate::bundle::{Bundle, Cascade, QualityGate};
 use crate::clock::Now;
-use crate::fingerprint::{Fingerprint, Identity};
+use crate::fingerprint::{Fingerprint, RequestIdentity};
 use crate::name::VersionName;
 use crate::outcome::{DispatchLog, Outcome, Reason, Refused};
 use crate::routing::admission::AdmissionPermit;
@@ -111,7 +111,7 @@
         };
         not_run(reason, err.to_string())
     })?;
-    let fingerprint = Fingerprint::of(Identity {
+    let fingerprint = Fingerprint::of(RequestIdentity {
         caller: Some(&caller.organisation),
         method: req.method().as_str(),
         host: "",
@@ -267,7 +267,7 @@
     for (position, model) in plan.steps.iter().enumerate().skip(start) {
         let is_last_step = position + 1 == plan.steps.len();
         let gate = plan.cascade.as_ref().map(|cascade| cascade.gate);
-        let holds_answer = gate == Some(Gate::Inline) && !is_last_step;
+        let holds_answer = gate == Some(QualityGate::Inline) && !is_last_step;
         let step = CascadeStep {
             model,
             pinned_version: plan.pinned_version.as_ref(),
@@ -284,7 +284,7 @@
                 continue;
             }
         };
-        session.keep(&answer.version);
+        session.pin_version(&answer.version);
         if request.stream && !holds_answer {
             let relay = StreamRelay::new(answer, session, cost, permit);
             let (body_sender, body) = channel_body();
--- a/src/router/context.rs
+++ b/src/router/context.rs
@@ -6,11 +6,11 @@
 use super::telemetry::RouterMetrics;
 use crate::claim::{AttemptId, ClaimKey, ClaimReply, Finish};
 use crate::clock::Now;
-use crate::evidence::{Counts, EvidenceCell, Subject};
+use crate::decision_record::DecisionRecord;
+use crate::evidence::{AnswerCounts, EvidenceCell, EvidenceSubject};
 use crate::http_client::{fresh_client, reusing_client};
 use crate::name::VersionName;
 use crate::outcome::{Outcome, Reason, Refused};
-use crate::record::DecisionRecord;
 use crate::routing::admission::Admission;
 use crate::routing::budget::RetryBudget;
 use crate::routing::snapshot::Snapshot;
@@ -60,7 +60,7 @@
     /// Identifies this router process in its evidence reports.
     pub reporter: String,
     /// The counts of this router process.
-    pub evidence: Mutex<HashMap<Subject, Counts>>,
+    pub evidence: Mutex<HashMap<EvidenceSubject, AnswerCounts>>,
     /// How recent requests ended.
     pub recent_finishes: RecentFinishes,
     /// Requests that were running at upstreams when these crashed.
@@ -84,8 +84,8 @@
     }
 
     /// Returns the evidence subject of a request that is sent now to a version for an organisation.
-    pub fn evidence_subject(&self, version: &VersionName, organisation: &str) -> Subject {
-        Subject {
+    pub fn evidence_subject(&self, version: &VersionName, organisation: &str) -> EvidenceSubject {
+        EvidenceSubject {
             version: version.clone(),
             organisation: organisation.to_owned(),
             lift: self.snapshot.load().control.newest_lift(version),
@@ -93,7 +93,7 @@
     }
 
     /// Updates the counts of an evidence subject.
-    pub fn update_counts(&self, subject: &Subject, update: impl FnOnce(&mut Counts)) {
+    pub fn update_counts(&self, subject: &EvidenceSubject, update: impl FnOnce(&mut AnswerCounts)) {
         let mut evidence = self.evidence.lock().unwrap_or_else(PoisonError::into_inner);
         update(evidence.entry(subject.clone()).or_default());
     }
@@ -101,7 +101,7 @@
     /// Returns this router's counts for a report to the agent.
     pub fn evidence_cells(&self) -> Vec<EvidenceCell> {
         let evidence = self.evidence.lock().unwrap_or_else(PoisonError::into_inner);
-        let cell = |(subject, counts): (&Subject, &Counts)| EvidenceCell {
+        let cell = |(subject, counts): (&EvidenceSubject, &AnswerCounts)| EvidenceCell {
             reporter: self.reporter.clone(),
             subject: subject.clone(),
             counts: *counts,
@@ -263,14 +263,14 @@
         outcome,
         reason,
         message: message.into(),
-        come_back_after: None,
+        retry_after: None,
     }
 }
 
 /// Refuses a request because every upstream that could serve it has asked for a back-off.
 pub fn refuse_for_backoff(outcome: Outcome, backoff: Duration) -> Refused {
     Refused {
-        come_back_after: Some(backoff),
+        retry_after: Some(backoff),
         ..refuse(
             outcome,
             Reason::Resting,
--- a/src/router/crash_guard.rs
+++ b/src/router/crash_guard.rs
@@ -5,7 +5,9 @@
 
 use super::context::{RouterShared, refuse};
 use crate::clock::Now;
-use crate::crash_ledger::{AfterBreak, CrashLedger, CrashRecord, LifeHash, Part, Standing};
+use crate::crash_ledger::{
+    CrashCheckResult, CrashLedger, CrashRecord, CrashRole, IncarnationHash, QuarantineState,
+};
 use crate::fingerprint::Fingerprint;
 use crate::outcome::{DispatchLog, Reason, Refused};
 use crate::routing::placement::Upstream;
@@ -44,21 +46,21 @@
     pub fn merge(&self, records: &[CrashRecord], now: Now) {
         let mut ledger = self.ledger();
         for record in records {
-            let before = ledger.standing(record.request, now);
-            ledger.take(record, now);
+            let before = ledger.quarantine_state(record.request, now);
+            ledger.merge_record(record, now);
             log_standing_change(before, record.request, &ledger, now);
         }
     }
 
     /// Returns the records for a report to the agent.
     pub fn report_records(&self, now: Now) -> Vec<CrashRecord> {
-        self.ledger().most_telling(MAX_RECORDS_PER_REPORT, now)
+        self.ledger().top_records(MAX_RECORDS_PER_REPORT, now)
     }
 
     /// Updates what is known of a request, and triggers a report to the agent.
     fn update(&self, request: Fingerprint, now: Now, update: impl FnOnce(&mut CrashLedger)) {
         let mut ledger = self.ledger();
-        let before = ledger.standing(request, now);
+        let before = ledger.quarantine_state(request, now);
         update(&mut ledger);
         log_standing_change(before, request, &ledger, now);
         drop(ledger);
@@ -67,8 +69,13 @@
 }
 
 /// Logs a change of a request's standing.
-fn log_standing_change(before: Standing, request: Fingerprint, ledger: &CrashLedger, now: Now) {
-    let standing = ledger.standing(request, now);
+fn log_standing_change(
+    before: QuarantineState,
+    request: Fingerprint,
+    ledger: &CrashLedger,
+    now: Now,
+) {
+    let standing = ledger.quarantine_state(request, now);
     if std::mem::discriminant(&before) != std::mem::discriminant(&standing) {
         let fingerprint = request.to_string();
         log::warn!(fingerprint = fingerprint.as_str(); "{}", standing.describe());
@@ -99,23 +106,23 @@
             .shared
             .crash_suspects
             .ledger()
-            .standing(self.request, now);
+            .quarantine_state(self.request, now);
         let refused =
             |reason, message| Err(refuse(dispatch_log.refusal_outcome(), reason, message));
         match standing {
-            Standing::Clear => Ok(()),
-            Standing::Suspect | Standing::OnTrial(_) if self.on_trial.get() => Ok(()),
-            Standing::Suspect => {
+            QuarantineState::Clear => Ok(()),
+            QuarantineState::Suspect | QuarantineState::OnTrial(_) if self.on_trial.get() => Ok(()),
+            QuarantineState::Suspect => {
                 self.on_trial.set(true);
                 let begin = |ledger: &mut CrashLedger| ledger.begin_trial(self.request, now);
                 self.shared.crash_suspects.update(self.request, now, begin);
                 Ok(())
             }
-            Standing::OnTrial(_) => refused(
+            QuarantineState::OnTrial(_) => refused(
                 Reason::OnTrial,
                 "upstreams crashed while they ran this request, and another send of it is on trial",
             ),
-            Standing::Quarantined => refused(
+            QuarantineState::Quarantined => refused(
                 Reason::CrashesUpstreams,
                 "upstreams crash when they run this request",
             ),
@@ -126,29 +133,29 @@
     pub async fn check_for_crash(&self, upstream: &str, address: SocketAddr) {
         let was_on_trial = self.on_trial.take();
         sleep(CONNECT_CHECK_DELAY).await;
-        let result = AfterBreak::by(&try_connect(address).await);
+        let result = CrashCheckResult::from_connect_result(&try_connect(address).await);
         let now = Now::read();
         let fingerprint = self.request.to_string();
         let fingerprint = fingerprint.as_str();
         log::info!(upstream, fingerprint; "an attempt was interrupted: {result:?}");
         let part = match was_on_trial {
-            true => Part::OnTrial,
-            false => Part::Present,
+            true => CrashRole::OnTrial,
+            false => CrashRole::Concurrent,
         };
         match result {
-            AfterBreak::Crashed => {
+            CrashCheckResult::Crashed => {
                 let incarnation = incarnation_hash(upstream, address);
                 self.shared
                     .crash_suspects
                     .update(self.request, now, |ledger| {
-                        ledger.crashed(incarnation, self.request, part, now);
+                        ledger.add_crash(incarnation, self.request, part, now);
                     });
             }
-            AfterBreak::Alive | AfterBreak::Unreachable if was_on_trial => {
+            CrashCheckResult::Alive | CrashCheckResult::Unreachable if was_on_trial => {
                 let end = |ledger: &mut CrashLedger| ledger.end_trial(self.request);
                 self.shared.crash_suspects.update(self.request, now, end);
             }
-            AfterBreak::Alive | AfterBreak::Unreachable => {}
+            CrashCheckResult::Alive | CrashCheckResult::Unreachable => {}
         }
     }
 
@@ -160,7 +167,7 @@
         self.shared
             .crash_suspects
             .update(self.request, now, |ledger| {
-                ledger.answered(self.request, now);
+                ledger.add_answer(self.request, now);
             });
     }
 }
@@ -181,7 +188,7 @@
 
 /// Identifies one incarnation of an upstream. The list doesn't distinguish incarnations, so an
 /// upstream that crashes twice under one name and address counts once.
-fn incarnation_hash(name: &str, address: SocketAddr) -> LifeHash {
+fn incarnation_hash(name: &str, address: SocketAddr) -> IncarnationHash {
     let text = format!("{name} {address}");
     // The lower half of the hash is as evenly distributed as any other part.
     xxhash_rust::xxh3::xxh3_64(text.as_bytes()) as u32
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -30,25 +30,25 @@
     upstream: &Upstream,
     dispatch_log: &mut DispatchLog,
 ) -> Result<UpstreamResponse, DispatchFailure> {
-    let attempt = dispatch_log.begin();
+    let attempt = dispatch_log.begin_try();
     let result = timeout(caller.remaining_time(Now::read()), request).await;
     let (reason, message, proof) = match result {
         Ok(Ok(response)) => {
-            dispatch_log.keep(attempt);
+            dispatch_log.record_maybe_sent(attempt);
             apply_signals(&response, upstream, Now::read());
             return Ok(response);
         }
         Ok(Err(err)) => (
             Reason::UpstreamFailed,
             err.to_string(),
-            ConnectFailed::prove(&err),
+            ConnectFailed::from_send_error(&err),
         ),
         Err(_) => (Reason::Deadline, "the deadline passed".to_owned(), None),
     };
     let is_unsent = proof.is_some();
     match proof {
-        Some(proof) => dispatch_log.retract(attempt, proof),
-        None => dispatch_log.keep(attempt),
+        Some(proof) => dispatch_log.record_unsent(attempt, proof),
+        None => dispatch_log.record_maybe_sent(attempt),
     }
     let refused = refuse(dispatch_log.refusal_outcome(), reason, message);
     Err(DispatchFailure { refused, is_unsent })
--- a/src/router/plain_service.rs
+++ b/src/router/plain_service.rs
@@ -10,9 +10,9 @@
 use super::trace::Trace;
 use crate::bundle::Service;
 use crate::clock::Now;
-use crate::fingerprint::{Fingerprint, Identity};
+use crate::decision_record::TryRecord;
+use crate::fingerprint::{Fingerprint, RequestIdentity};
 use crate::outcome::{DispatchLog, Outcome, Reason, Refused};
-use crate::record::TryRecord;
 use crate::routing::placement::{
     LoadGuard, PlacementQuery, Upstream, choose_upstream, shortest_remaining_backoff,
 };
@@ -185,7 +185,7 @@
 
 /// Identifies sends of the same request by the parts that the router has read.
 pub fn request_fingerprint(caller: &Caller, req: &Request, body: &[u8]) -> Fingerprint {
-    Fingerprint::of(Identity {
+    Fingerprint::of(RequestIdentity {
         caller: Some(&caller.organisation),
         method: req.method().as_str(),
         host: "",
--- a/src/router/rating.rs
+++ b/src/router/rating.rs
@@ -1,7 +1,7 @@
 //! Asks the platform's rating service whether an answer is good.
 
 use super::context::Worker;
-use crate::evidence::Subject;
+use crate::evidence::EvidenceSubject;
 use crate::name::VersionName;
 use crate::routing::snapshot::Snapshot;
 use bytes::Bytes;
@@ -28,7 +28,7 @@
 /// Requests a rating: whether an answer is good, or `None` if no rating arrives in time.
 pub async fn request_rating(
     worker: &Worker,
-    subject: &Subject,
+    subject: &EvidenceSubject,
     answer: &Bytes,
     time_limit: Duration,
 ) -> Option<bool> {
@@ -60,7 +60,7 @@
 /// Requests a rating that a request waits for.
 pub async fn rate_inline(
     worker: &Worker,
-    subject: &Subject,
+    subject: &EvidenceSubject,
     answer: &Bytes,
     time_limit: Duration,
 ) -> Option<bool> {
@@ -87,14 +87,14 @@
 }
 
 /// Rates an answer in the background.
-pub fn rate_in_background(worker: &Rc<Worker>, subject: &Subject, answer: Bytes) {
+pub fn rate_in_background(worker: &Rc<Worker>, subject: &EvidenceSubject, answer: Bytes) {
     let (worker, subject) = (worker.clone(), subject.clone());
     actix_rt::spawn(async move {
         request_rating(&worker, &subject, &answer, SAMPLE_RATING_TIMEOUT).await;
     });
 }
 
-fn record_rating(worker: &Worker, subject: &Subject, good: bool) {
+fn record_rating(worker: &Worker, subject: &EvidenceSubject, good: bool) {
     worker.shared.update_counts(subject, |counts| {
         if good {
             counts.good += 1;
--- a/src/routing/cascade.rs
+++ b/src/routing/cascade.rs
@@ -5,8 +5,8 @@
 //! occasionally explores the next cheaper step. See `docs/design/cascades.md`.
 
 use super::snapshot::Snapshot;
-use crate::bundle::{Cascade, Gate};
-use crate::evidence::Counts;
+use crate::bundle::{Cascade, QualityGate};
+use crate::evidence::AnswerCounts;
 use rand::Rng;
 
 /// Minimum number of ratings from which the quality of a step is estimated.
@@ -23,7 +23,7 @@
     cascade: &Cascade,
     rng: &mut impl Rng,
 ) -> usize {
-    if cascade.gate == Gate::Inline {
+    if cascade.gate == QualityGate::Inline {
         return 0;
     }
     let quality = |step: &String| quality_lower_bound(snapshot, organisation, step);
@@ -57,7 +57,7 @@
 /// As in the exposure guard, ratings from before operators lifted a version's suspension do not
 /// count for the version after the lift.
 fn quality_lower_bound(snapshot: &Snapshot, organisation: &str, model: &str) -> Option<f64> {
-    let mut counts = Counts::default();
+    let mut counts = AnswerCounts::default();
     for (subject, found) in snapshot.evidence_sums.iter() {
         let is_match = subject.organisation == organisation && subject.version.model == model;
         if is_match && subject.lift == snapshot.control.newest_lift(&subject.version) {
--- a/src/routing/snapshot.rs
+++ b/src/routing/snapshot.rs
@@ -1,9 +1,9 @@
 //! State that a router uses for its decisions, replaced as a whole on each change.
 
+use crate::box_list::{AGENT_SERVICE, BoxList, BoxState};
 use crate::bundle::Bundle;
 use crate::change::{ControlState, Generation};
-use crate::evidence::{Counts, Subject};
-use crate::live::{AGENT_SERVICE, BoxState, LiveList};
+use crate::evidence::{AnswerCounts, EvidenceSubject};
 use crate::name::VersionName;
 use crate::routing::placement::{Upstream, UpstreamLoad};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -26,7 +26,7 @@
     /// Whether a live list has been received.
     pub has_live_list: bool,
     /// Sums of the evidence about versions from all boxes.
-    pub evidence_sums: Arc<BTreeMap<Subject, Counts>>,
+    pub evidence_sums: Arc<BTreeMap<EvidenceSubject, AnswerCounts>>,
 }
 
 impl Snapshot {
@@ -37,7 +37,7 @@
 
     /// Applies a live list and keeps the load of upstreams that were in the previous one. An upstream
     /// at another address is a new one, even if its name is the same.
-    pub fn apply_live_list(&mut self, list: &LiveList) {
+    pub fn apply_live_list(&mut self, list: &BoxList) {
         let mut loads: HashMap<(String, SocketAddr), Arc<UpstreamLoad>> = HashMap::new();
         for upstream in self.upstreams.values().flatten() {
             let key = (upstream.name.clone(), upstream.address);
