--- a/tests/bundles.rs
+++ b/tests/bundles.rs
@@ -128,7 +128,7 @@
             bench.store.write(&head_key(PARTNER), generation.to_string().as_bytes());
         }
         bench.wait_for("the entries have been read and refused", async || {
-            bench.log_count("an entry of the change log is not taken") > 0
+            bench.log_count("rejecting an invalid entry of the change log") > 0
         }).await;
         let status = bench.status_of("ikeja-1").await.unwrap();
         expect_that!(status["generation"].as_u64(), some(eq(2)));
--- a/tests/replacing_soak.rs
+++ b/tests/replacing_soak.rs
@@ -202,7 +202,7 @@
     let served: usize = seen.iter().map(|seen| seen.served).sum();
     let longest = seen.iter().map(|seen| seen.longest_connecting).max();
     let mut not_served: Vec<_> = seen.into_iter().flat_map(|seen| seen.not_served).collect();
-    let replaced = bench.log_count("\"text\":\"stopping: requests under way are finished\"");
+    let replaced = bench.log_count("\"text\":\"stopping: finishing requests in progress\"");
     println!(
         "seed {seed}: {served} served, {} not, {replaced} routers stopped, connecting {longest:?}",
         not_served.len()
