--- a/src/bin/gatepier-agent.rs
+++ b/src/bin/gatepier-agent.rs
@@ -1,7 +1,7 @@
 //! The control path of one entry box.
 
 use gatepier::agent::Agent;
-use gatepier::daemon::{self, wait_for_stop};
+use gatepier::daemon::{self, wait_for_stop_signal};
 use gatepier::settings::agent::AgentSettings;
 
 const HELP: &str = "\
@@ -23,7 +23,7 @@
     daemon::main("gatepier-agent", HELP, AgentSettings::load, |settings| {
         actix_rt::System::new().block_on(async {
             let agent = Agent::new(settings)?;
-            agent.run(wait_for_stop()).await
+            agent.run(wait_for_stop_signal()).await
         })
     })
 }
--- a/src/bin/gatepier-lab.rs
+++ b/src/bin/gatepier-lab.rs
@@ -1,6 +1,6 @@
 //! Stand-ins and load, for tests and measurements only.
 
-use gatepier::daemon::wait_for_stop;
+use gatepier::daemon::wait_for_stop_signal;
 use gatepier::error::Result;
 use gatepier::lab::cli::{HELP, LabCommand, StandInKind};
 use gatepier::lab::{load, model, platform, server, service, store};
@@ -47,7 +47,7 @@
             server::serve::<service::ServiceStandIn>(listener, Default::default(), WORKERS)
         }
     }?;
-    wait_for_stop().await;
+    wait_for_stop_signal().await;
     handle.stop(false).await;
     Ok(())
 }
--- a/src/bin/gatepier-router.rs
+++ b/src/bin/gatepier-router.rs
@@ -1,6 +1,6 @@
 //! The data path of one entry box.
 
-use gatepier::daemon::{self, wait_for_stop};
+use gatepier::daemon::{self, wait_for_stop_signal};
 use gatepier::router;
 use gatepier::settings::router::RouterSettings;
 
@@ -21,6 +21,6 @@
 
 fn main() -> eyre::Result<()> {
     daemon::main("gatepier-router", HELP, RouterSettings::load, |settings| {
-        actix_rt::System::new().block_on(router::run(settings, wait_for_stop()))
+        actix_rt::System::new().block_on(router::run(settings, wait_for_stop_signal()))
     })
 }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -75,7 +75,7 @@
 }
 
 /// Waits for `SIGTERM` or `SIGINT`.
-pub async fn wait_for_stop() {
+pub async fn wait_for_stop_signal() {
     let term = signal(SignalKind::terminate());
     let int = signal(SignalKind::interrupt());
     let (Ok(mut term), Ok(mut int)) = (term, int) else {
@@ -127,7 +127,7 @@
 
 /// Listens with `SO_REUSEPORT`, so that a new process can take over from an old one on
 /// the same address.
-pub fn listen_shared(address: SocketAddr) -> Result<TcpListener> {
+pub fn listen_reuse_port(address: SocketAddr) -> Result<TcpListener> {
     let error = |err| Error::Unreachable(format!("cannot listen on {address}: {err}"));
     let socket = Socket::new(
         Domain::for_address(address),
@@ -146,7 +146,7 @@
 /// Starts logging JSON lines to standard output without ever waiting for its reader.
 ///
 /// See [`crate::log_output`] for what happens to lines that nobody takes.
-pub fn start_box_logs() -> Result<LoggerHandle> {
+pub fn start_stdout_logging() -> Result<LoggerHandle> {
     let output = crate::log_output::BoundedOutput::start()
         .map_err(|err| Error::Usage(format!("logs cannot be started: {err}")))?;
     Logger::with(read_log_spec()?)
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -112,7 +112,7 @@
 }
 
 async fn wait_until_ready(partner: &Partner) -> Result<()> {
-    let client = crate::http_client::reusing_client();
+    let client = crate::http_client::pooled_client();
     for found in &partner.fleet.boxes {
         let url = format!("http://{}/ready", found.router_metrics);
         wait_until(&format!("{} is ready", found.name), async || {
@@ -219,7 +219,7 @@
             settings.display()
         );
     }
-    crate::daemon::wait_for_stop().await;
+    crate::daemon::wait_for_stop_signal().await;
     Ok(true)
 }
 
--- a/src/demo/requests.rs
+++ b/src/demo/requests.rs
@@ -1,7 +1,7 @@
 //! The demo's callers.
 
 use super::stage::Partner;
-use crate::http_client::reusing_client;
+use crate::http_client::pooled_client;
 use crate::lab::fleet::credential_of;
 use awc::Client;
 use futures::StreamExt as _;
@@ -59,7 +59,7 @@
 
 /// Sends a number of requests of all kinds, one after the other through all boxes.
 pub async fn send_mixed(partner: &Partner, count: usize) -> Vec<Sent> {
-    let client = reusing_client();
+    let client = pooled_client();
     let mut sent = Vec::new();
     for number in 0..count {
         let kind = Kind::ALL[number % Kind::ALL.len()];
@@ -77,7 +77,7 @@
 /// Sends a few requests that need claims, to see whether they are granted everywhere.
 pub async fn send_claimed_probe(partner: &Partner) -> Vec<Sent> {
     const PROBES: usize = 16;
-    let client = reusing_client();
+    let client = pooled_client();
     let mut sent = Vec::new();
     for number in 0..PROBES {
         let key = format!("probe-{}", uuid::Uuid::new_v4().simple());
--- a/src/strict_stream.rs
+++ b/src/eof_error_stream.rs
@@ -14,19 +14,19 @@
 
 /// A TCP connection whose end is an error.
 #[derive(Debug)]
-pub struct StrictStream {
+pub struct EofErrorStream {
     stream: TcpStream,
     end: io::ErrorKind,
 }
 
-impl StrictStream {
+impl EofErrorStream {
     /// Wraps a connection; its end is an error of the kind `end`.
     pub fn new(stream: TcpStream, end: io::ErrorKind) -> Self {
         Self { stream, end }
     }
 }
 
-impl AsyncRead for StrictStream {
+impl AsyncRead for EofErrorStream {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -42,7 +42,7 @@
     }
 }
 
-impl AsyncWrite for StrictStream {
+impl AsyncWrite for EofErrorStream {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -60,7 +60,7 @@
     }
 }
 
-impl ActixStream for StrictStream {
+impl ActixStream for EofErrorStream {
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<Ready>> {
         ActixStream::poll_read_ready(&self.stream, cx)
     }
--- a/src/gateway/admit/listen.rs
+++ b/src/gateway/admit/listen.rs
@@ -4,7 +4,8 @@
 use super::routes::CallerLimits;
 use super::serve::serve;
 use crate::clock::Now;
-use crate::daemon::listen_shared;
+use crate::daemon::listen_reuse_port;
+use crate::eof_error_stream::EofErrorStream;
 use crate::error::{Error, Result};
 use crate::gateway::Gateway;
 use crate::gateway::control::store::ControlStore;
@@ -12,7 +13,6 @@
 use crate::http_server::accept::{Taken, accept};
 use crate::http_server::{Accepting, HttpServer};
 use crate::metrics::Metrics;
-use crate::strict_stream::StrictStream;
 use actix_http::{HttpService, Request, Response, StatusCode};
 use actix_service::{Service as _, ServiceFactory as _};
 use std::convert::Infallible;
@@ -73,13 +73,13 @@
 }
 
 fn listen(address: SocketAddr) -> Result<TcpListener> {
-    TcpListener::from_std(listen_shared(address)?)
+    TcpListener::from_std(listen_reuse_port(address)?)
         .map_err(|err| Error::Unreachable(format!("cannot listen on {address}: {err}")))
 }
 
 /// Accepts callers' connections in the background.
 pub fn serve_callers(gw: &Rc<Gateway>) -> Result<HttpServer<Accepting>> {
-    let listener = listen_shared(gw.settings().caller_addr)?;
+    let listener = listen_reuse_port(gw.settings().caller_addr)?;
     let connections = gw.caller_connections.clone();
     let gw = gw.clone();
     HttpServer::start(listener, connections, move |accepted| {
@@ -95,7 +95,7 @@
         .borrow()
         .routes()
         .map_or_else(CallerLimits::default, |routes| routes.limits);
-    let stream = StrictStream::new(stream, ErrorKind::ConnectionAborted);
+    let stream = EofErrorStream::new(stream, ErrorKind::ConnectionAborted);
     let handler = move |req: Request| {
         let gw = gw.clone();
         // Boxed, so that an idle connection does not reserve memory for the largest future.
--- a/src/gateway/admit/serve.rs
+++ b/src/gateway/admit/serve.rs
@@ -15,7 +15,7 @@
 use crate::gateway::place::choose::stable_hash;
 use crate::gateway::settings::UnverifiedKeyPolicy;
 use crate::gateway::{Gateway, StartupWait};
-use crate::hop_by_hop::HopByHop;
+use crate::hop_by_hop::HopByHopHeaders;
 use actix_http::body::{BodyStream, BoxBody, MessageBody as _};
 use actix_http::{HttpMessage as _, Request, Response, StatusCode};
 use bytes::{Bytes, BytesMut};
@@ -284,7 +284,9 @@
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = Response::build(status);
     let connection = headers.get_all(hyper::header::CONNECTION);
-    let hop_by_hop = HopByHop::read(connection.iter().filter_map(|value| value.to_str().ok()));
+    let hop_by_hop = HopByHopHeaders::from_connection_values(
+        connection.iter().filter_map(|value| value.to_str().ok()),
+    );
     for (name, value) in headers {
         if hop_by_hop.contains(name.as_str()) {
             continue;
@@ -316,7 +318,8 @@
     let names = &gw.headers;
     let mut forwarded = http1_types::HeaderMap::new();
     let connection = req.headers().get_all("connection");
-    let hop_by_hop = HopByHop::read(connection.filter_map(|value| value.to_str().ok()));
+    let hop_by_hop =
+        HopByHopHeaders::from_connection_values(connection.filter_map(|value| value.to_str().ok()));
     for (name, value) in req.headers() {
         let name = name.as_str();
         let is_reserved = names.reserved.iter().any(|reserved| reserved == name);
--- a/src/hop_by_hop.rs
+++ b/src/hop_by_hop.rs
@@ -17,13 +17,13 @@
 
 /// The headers of one message that stay on its connection.
 #[derive(Debug, Clone, Default)]
-pub struct HopByHop {
+pub struct HopByHopHeaders {
     named: HashSet<String>,
 }
 
-impl HopByHop {
+impl HopByHopHeaders {
     /// Reads the values of a message's `Connection` headers, which may name others.
-    pub fn read<'a>(connection: impl Iterator<Item = &'a str>) -> Self {
+    pub fn from_connection_values<'a>(connection: impl Iterator<Item = &'a str>) -> Self {
         let names = connection.flat_map(|value| value.split(','));
         let named = names.map(|name| name.trim().to_ascii_lowercase()).collect();
         Self { named }
--- a/src/http_client.rs
+++ b/src/http_client.rs
@@ -1,6 +1,6 @@
 //! The HTTP client towards upstreams and the platform, and what its errors prove.
 
-mod strict;
+mod connector;
 
 use awc::error::{ConnectError, PayloadError, SendRequestError};
 use awc::{Client, ClientResponse, Connector};
@@ -17,7 +17,7 @@
 ///
 /// Time limits are set where a request is made, since the client does not know
 /// a request's deadline.
-pub fn reusing_client() -> Client {
+pub fn pooled_client() -> Client {
     client_keeping(IDLE_CONNECTION_LIFETIME)
 }
 
@@ -26,13 +26,13 @@
 /// An upstream may close an idle connection just as a request is written to it,
 /// and nobody can tell then whether the request ran. Requests that may not be
 /// repeated go over fresh connections, so that this does not happen to them.
-pub fn fresh_client() -> Client {
+pub fn unpooled_client() -> Client {
     client_keeping(Duration::ZERO)
 }
 
 fn client_keeping(idle: Duration) -> Client {
     let connector = Connector::new()
-        .connector(strict::connect_strictly())
+        .connector(connector::eof_error_connector())
         .timeout(CONNECT_TIMEOUT)
         .conn_keep_alive(idle)
         .limit(CONNECTIONS_LIMIT);
@@ -48,25 +48,25 @@
 #[derive(Debug, Clone, Copy)]
 pub struct ReadLimits {
     /// The longest time in which nothing more comes.
-    pub silence: Duration,
+    pub idle_timeout: Duration,
     /// The longest time for all of it, for a sender that never ends.
-    pub longest: Duration,
+    pub total_timeout: Duration,
     /// The most bytes.
-    pub most_bytes: usize,
+    pub max_bytes: usize,
 }
 
 /// Reads an answer's body for as long as more of it comes, or says why it is not whole.
 ///
 /// A time-out that is the same for every size fails large answers on narrow links, each time
 /// anew; see `docs/design/spreading.md`.
-pub async fn read_answer<S>(
+pub async fn read_response_body<S>(
     res: &mut ClientResponse<S>,
     limits: ReadLimits,
 ) -> Result<Vec<u8>, String>
 where
     S: Stream<Item = Result<Bytes, PayloadError>> + Unpin,
 {
-    let reading = timeout(limits.longest, read_while_it_comes(res, limits)).await;
+    let reading = timeout(limits.total_timeout, read_while_it_comes(res, limits)).await;
     reading.map_err(|_elapsed| "the answer took too long".to_owned())?
 }
 
@@ -79,11 +79,11 @@
 {
     let mut body = Vec::new();
     loop {
-        let coming = timeout(limits.silence, res.next()).await;
+        let coming = timeout(limits.idle_timeout, res.next()).await;
         match coming.map_err(|_elapsed| "nothing came any more".to_owned())? {
             None => return Ok(body),
             Some(Err(err)) => return Err(err.to_string()),
-            Some(Ok(piece)) if body.len() + piece.len() > limits.most_bytes => {
+            Some(Ok(piece)) if body.len() + piece.len() > limits.max_bytes => {
                 return Err("the answer is too large".to_owned());
             }
             Some(Ok(piece)) => body.extend_from_slice(&piece),
--- a/src/http_client/strict.rs
+++ b/src/http_client/connector.rs
@@ -1,6 +1,6 @@
 //! Connections to upstreams whose end is an error, so that only a body's own framing ends it.
 
-use crate::strict_stream::StrictStream;
+use crate::eof_error_stream::EofErrorStream;
 use actix_rt::net::TcpStream;
 use actix_service::{Service, ServiceExt as _};
 use actix_tls::connect::{ConnectError, ConnectInfo, Connection, Connector};
@@ -8,9 +8,9 @@
 use std::io;
 
 /// Opens connections whose end is an error.
-pub fn connect_strictly() -> impl Service<
+pub fn eof_error_connector() -> impl Service<
     ConnectInfo<Uri>,
-    Response = Connection<Uri, StrictStream>,
+    Response = Connection<Uri, EofErrorStream>,
     Error = ConnectError,
     Future: 'static,
 > + Clone
@@ -22,6 +22,9 @@
             if let Err(err) = stream.set_nodelay(true) {
                 log::debug!("small packets may wait for others: {err}");
             }
-            Connection::new(uri, StrictStream::new(stream, io::ErrorKind::UnexpectedEof))
+            Connection::new(
+                uri,
+                EofErrorStream::new(stream, io::ErrorKind::UnexpectedEof),
+            )
         })
 }
--- a/src/http_server/handover.rs
+++ b/src/http_server/handover.rs
@@ -6,7 +6,7 @@
 //! address" in `docs/design/stopping.md`.
 
 use super::accept::{ACCEPT_PAUSE, Leaving};
-use crate::daemon::listen_shared;
+use crate::daemon::listen_reuse_port;
 use crate::error::{Error, Result};
 use rustix::cmsg_space;
 use rustix::net::{
@@ -76,7 +76,7 @@
         let asked_at = UnixListener::bind(name_of(address))
             .inspect_err(|err| log::warn!("the callers' socket cannot be passed on: {err}"));
         Ok(Self {
-            listener: listen_shared(address)?,
+            listener: listen_reuse_port(address)?,
             asked_at: asked_at.ok(),
             predecessor: None,
         })
--- a/src/lab/load.rs
+++ b/src/lab/load.rs
@@ -2,7 +2,7 @@
 //! have ended, and their latency counts from the moment they were due.
 
 use crate::error::{Error, Result};
-use crate::http_client::reusing_client;
+use crate::http_client::pooled_client;
 use awc::Client;
 use bytes::Bytes;
 use futures::StreamExt as _;
@@ -156,7 +156,7 @@
 async fn run_thread(plan: LoadPlan) -> Result<LoadReport> {
     let report = Rc::new(RefCell::new(LoadReport::new()?));
     let plan = Rc::new(plan);
-    let client = reusing_client();
+    let client = pooled_client();
     let start = Instant::now();
     let mut requests = Vec::new();
     for number in 0u64.. {
--- a/src/live.rs
+++ b/src/live.rs
@@ -1,6 +1,6 @@
 //! The platform's lagging list of live and leaving boxes.
 
-use crate::http_client::reusing_client;
+use crate::http_client::pooled_client;
 use crate::name::VersionName;
 use awc::Client;
 use serde::{Deserialize, Serialize};
@@ -103,7 +103,7 @@
     /// Makes a client for the list at an address.
     pub fn new(address: SocketAddr) -> Self {
         Self {
-            client: reusing_client(),
+            client: pooled_client(),
             address,
         }
     }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -72,7 +72,7 @@
             .disable_signals()
             .listen(
                 "metrics",
-                crate::daemon::listen_shared(address)?,
+                crate::daemon::listen_reuse_port(address)?,
                 move || {
                     let metrics = metrics.clone();
                     HttpService::build()
--- a/src/router/context.rs
+++ b/src/router/context.rs
@@ -7,7 +7,7 @@
 use crate::claim::{AttemptId, ClaimKey, ClaimReply, Finish};
 use crate::clock::Now;
 use crate::evidence::{Counts, EvidenceCell, Subject};
-use crate::http_client::{fresh_client, reusing_client};
+use crate::http_client::{pooled_client, unpooled_client};
 use crate::name::VersionName;
 use crate::outcome::{Outcome, Reason, Refused};
 use crate::record::DecisionRecord;
@@ -134,8 +134,8 @@
     /// Creates the state of one thread.
     pub fn new(shared: Arc<RouterShared>) -> Rc<Self> {
         Rc::new(Self {
-            pooled_client: reusing_client(),
-            unpooled_client: fresh_client(),
+            pooled_client: pooled_client(),
+            unpooled_client: unpooled_client(),
             agents: AgentClient::new(shared.clone()),
             shared,
         })
--- a/src/router/headers.rs
+++ b/src/router/headers.rs
@@ -1,6 +1,6 @@
 //! Names of headers, and which headers are forwarded.
 
-use crate::hop_by_hop::HopByHop;
+use crate::hop_by_hop::HopByHopHeaders;
 use actix_http::header::{AUTHORIZATION, CONNECTION, HOST, HeaderMap, HeaderName};
 
 /// Tells an upstream which organisation a request belongs to.
@@ -17,7 +17,8 @@
     headers: &HeaderMap,
 ) -> Vec<(HeaderName, actix_http::header::HeaderValue)> {
     let connection = headers.get_all(CONNECTION);
-    let hop_by_hop = HopByHop::read(connection.filter_map(|value| value.to_str().ok()));
+    let hop_by_hop =
+        HopByHopHeaders::from_connection_values(connection.filter_map(|value| value.to_str().ok()));
     let is_dropped = |name: &HeaderName| {
         [HOST, AUTHORIZATION].contains(name)
             || hop_by_hop.contains(name.as_str())
--- a/src/store/etcd.rs
+++ b/src/store/etcd.rs
@@ -3,7 +3,7 @@
 use super::{
     CallCounter, Condition, Store, StoreCalls, StoreError, StoreResult, Versioned, WriteOutcome,
 };
-use crate::http_client::{ReadLimits, proves_unsent, read_answer, reusing_client};
+use crate::http_client::{ReadLimits, pooled_client, proves_unsent, read_response_body};
 use awc::Client;
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD as BASE64;
@@ -21,9 +21,9 @@
 
 /// How an answer is read: the largest takes 6.7 s over a link of 10 Mbit/s.
 const READING: ReadLimits = ReadLimits {
-    silence: CALL_TIMEOUT,
-    longest: Duration::from_secs(10),
-    most_bytes: 8 * 1024 * 1024,
+    idle_timeout: CALL_TIMEOUT,
+    total_timeout: Duration::from_secs(10),
+    max_bytes: 8 * 1024 * 1024,
 };
 
 /// A store that is reached over HTTP.
@@ -215,7 +215,7 @@
     /// Makes an adapter for the gateway at an address.
     pub fn new(address: SocketAddr) -> Self {
         Self {
-            client: reusing_client(),
+            client: pooled_client(),
             address,
             counter: CallCounter::default(),
         }
@@ -238,7 +238,7 @@
                 StoreError::AnswerLost(err.to_string())
             }
         })?;
-        let body = read_answer(&mut res, READING)
+        let body = read_response_body(&mut res, READING)
             .await
             .map_err(StoreError::AnswerLost)?;
         if !res.status().is_success() {
--- a/tests/common/calling.rs
+++ b/tests/common/calling.rs
@@ -125,7 +125,7 @@
         let router = |(name, running): (&String, &RunningBox)| (name.clone(), running.files.router);
         CallerView {
             routers: self.boxes.iter().map(router).collect(),
-            client: gatepier::http_client::reusing_client(),
+            client: gatepier::http_client::pooled_client(),
         }
     }
 
--- a/tests/common/starting.rs
+++ b/tests/common/starting.rs
@@ -59,7 +59,7 @@
             proxy,
             models: Vec::new(),
             services: Vec::new(),
-            client: gatepier::http_client::reusing_client(),
+            client: gatepier::http_client::pooled_client(),
             bundle,
             store_address,
             platform_addresses: BTreeMap::new(),
--- a/tests/replacing.rs
+++ b/tests/replacing.rs
@@ -7,8 +7,8 @@
     read_answer, streamed_question,
 };
 use futures::future::join_all;
-use gatepier::daemon::listen_shared;
-use gatepier::http_client::{fresh_client, reusing_client};
+use gatepier::daemon::listen_reuse_port;
+use gatepier::http_client::{pooled_client, unpooled_client};
 use gatepier::http_server::accept::Taken;
 use gatepier::http_server::{Accepting, Connections, HttpServer};
 use gatepier::lab::fleet::free_address;
@@ -42,7 +42,7 @@
     question: impl Fn() -> Value,
     until: Instant,
 ) -> Vec<Answer> {
-    let client = reusing_client();
+    let client = pooled_client();
     let url = format!(
         "http://{}/v1/chat/completions",
         bench.boxes["ikeja-1"].files.router
@@ -71,7 +71,7 @@
 
 /// Starts a server that sends one byte back on each connection.
 fn echo_server(address: SocketAddr) -> HttpServer<Accepting> {
-    let listener = listen_shared(address).unwrap();
+    let listener = listen_reuse_port(address).unwrap();
     let take = |taken: Taken| {
         actix_rt::spawn(async move {
             let mut stream = taken.stream;
@@ -421,7 +421,7 @@
         let names = ["ikeja-1", "ikeja-2"];
         names.iter().for_each(|name| bench.boxes[*name].agent.as_ref().unwrap().freeze());
         let url = format!("http://{}/v1/chat/completions", bench.boxes["ikeja-1"].files.router);
-        let request = fresh_client().post(url).bearer_auth("comics-key");
+        let request = unpooled_client().post(url).bearer_auth("comics-key");
         let answer = read_answer(request.send_json(&question("small")).await).await;
         expect_that!(answer.status, eq(200), "{}", answer.body);
         let mut router = bench.boxes.get_mut("ikeja-1").unwrap().router.take().unwrap();
--- a/tests/stopping.rs
+++ b/tests/stopping.rs
@@ -32,7 +32,7 @@
             "http://{}/v1/chat/completions",
             bench.boxes[name].files.router
         );
-        let request = gatepier::http_client::fresh_client()
+        let request = gatepier::http_client::unpooled_client()
             .post(url)
             .bearer_auth("comics-key");
         answers.push(read_answer(request.send_json(&streamed_question("small")).await).await);
--- a/tests/stopping_beside_load.rs
+++ b/tests/stopping_beside_load.rs
@@ -43,7 +43,7 @@
     let url = format!("http://{router}/v1/chat/completions");
     let mut answers = Vec::new();
     while Instant::now() < until {
-        let client = gatepier::http_client::fresh_client();
+        let client = gatepier::http_client::unpooled_client();
         let request = client.post(&url).bearer_auth("comics-key");
         answers.push(read_answer(request.send_json(&streamed_question("small")).await).await);
     }
