--- a/src/bin/gatepier-lab.rs
+++ b/src/bin/gatepier-lab.rs
@@ -1,4 +1,4 @@
-//! Stand-ins and load, for tests and measurements only.
+//! Simulated services and a load generator, for tests and measurements only.
 
 use gatepier::daemon::wait_for_stop_signal;
 use gatepier::error::Result;
@@ -6,7 +6,7 @@
 use gatepier::lab::{load, model, platform, server, service, store};
 use std::net::SocketAddr;
 
-const WORKERS: usize = 1;
+const WORKER_THREADS: usize = 1;
 
 fn main() -> eyre::Result<()> {
     match LabCommand::from_env() {
@@ -35,16 +35,16 @@
     let listener = server::listen(address)?;
     let handle = match kind {
         StandInKind::Store => {
-            server::serve::<store::StoreStandIn>(listener, Default::default(), WORKERS)
+            server::serve::<store::StoreStandIn>(listener, Default::default(), WORKER_THREADS)
         }
         StandInKind::Platform => {
-            server::serve::<platform::PlatformStandIn>(listener, Default::default(), WORKERS)
+            server::serve::<platform::PlatformStandIn>(listener, Default::default(), WORKER_THREADS)
         }
         StandInKind::Model => {
-            server::serve::<model::ModelStandIn>(listener, Default::default(), WORKERS)
+            server::serve::<model::ModelStandIn>(listener, Default::default(), WORKER_THREADS)
         }
         StandInKind::Service => {
-            server::serve::<service::ServiceStandIn>(listener, Default::default(), WORKERS)
+            server::serve::<service::ServiceStandIn>(listener, Default::default(), WORKER_THREADS)
         }
     }?;
     wait_for_stop_signal().await;
--- a/src/bin/gatepier.rs
+++ b/src/bin/gatepier.rs
@@ -9,8 +9,12 @@
         Err(err) => exit_with(&err),
     };
     if let Command::Demo { serve } = options.command {
-        let kept = gatepier::demo::run(serve)?;
-        std::process::exit(if kept { EXIT_DONE } else { EXIT_FAILED });
+        let all_checks_passed = gatepier::demo::run(serve)?;
+        std::process::exit(if all_checks_passed {
+            EXIT_DONE
+        } else {
+            EXIT_FAILED
+        });
     }
     match actix_rt::System::new().block_on(gatepier::operate::run(&options)) {
         Ok(output) => print!("{output}"),
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,4 +1,4 @@
-//! What the daemons have in common: logs, signals, and settings checks.
+//! Functions shared by the daemons: command line, logging, signals and listening sockets.
 
 use crate::error::{Error, Result};
 use flexi_logger::{LogSpecification, Logger, LoggerHandle, json_format};
@@ -7,24 +7,25 @@
 use std::path::PathBuf;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// The environment variable that sets what is logged, such as `info` or `gatepier=debug`.
+/// The environment variable with the log filter, such as `info` or `gatepier=debug`.
 pub const LOG_VARIABLE: &str = "GATEPIER_LOG";
 
-const BACKLOG: i32 = 1024;
+/// The maximum number of connections that wait to be accepted on one socket.
+const LISTEN_BACKLOG_CONNECTIONS: i32 = 1024;
 
-/// The command line of a daemon, checked.
+/// The options of a daemon's command line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DaemonOptions {
     /// The settings file.
     pub settings: PathBuf,
-    /// Whether only the settings are checked.
+    /// Whether to check the settings and exit.
     pub check_only: bool,
 }
 
-/// What a daemon was asked to do by its command line.
+/// The command that a daemon's command line asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DaemonCommand {
-    /// Run, or check the settings.
+    /// Run the daemon, or only check its settings.
     Run(DaemonOptions),
     /// Print the help text.
     Help,
@@ -33,7 +34,7 @@
 }
 
 impl DaemonCommand {
-    /// Reads the process's arguments.
+    /// Parses the process's arguments.
     pub fn from_env() -> Result<Self> {
         let mut args = pico_args::Arguments::from_env();
         if args.contains(["-h", "--help"]) {
@@ -66,12 +67,12 @@
 }
 
 /// Starts logging JSON lines to standard error.
-pub fn start_logs() -> Result<LoggerHandle> {
+pub fn start_stderr_logging() -> Result<LoggerHandle> {
     Logger::with(read_log_spec()?)
         .format(json_format)
         .log_to_stderr()
         .start()
-        .map_err(|err| Error::Usage(format!("logs cannot be started: {err}")))
+        .map_err(|err| Error::Usage(format!("cannot start logging: {err}")))
 }
 
 /// Waits for `SIGTERM` or `SIGINT`.
@@ -79,7 +80,7 @@
     let term = signal(SignalKind::terminate());
     let int = signal(SignalKind::interrupt());
     let (Ok(mut term), Ok(mut int)) = (term, int) else {
-        log::error!("signals cannot be received, the process can only be killed");
+        log::error!("cannot install signal handlers; the process can only be killed");
         return std::future::pending().await;
     };
     tokio::select! {
@@ -88,8 +89,10 @@
     }
 }
 
-/// Runs a daemon's `main`: reads the command line, checks settings, runs.
-pub fn main<S>(
+/// Runs a daemon: parses the command line, loads the settings, starts logging and calls `run`.
+///
+/// Errors in the command line or the settings end the process with their exit code.
+pub fn run_daemon<S>(
     name: &str,
     help: &str,
     load: impl FnOnce(&std::path::Path) -> Result<S>,
@@ -115,7 +118,7 @@
         println!("{}: no faults found", options.settings.display());
         return Ok(());
     }
-    let _logs = start_logs()?;
+    let _logs = start_stderr_logging()?;
     run(settings)?;
     Ok(())
 }
@@ -125,7 +128,7 @@
     std::process::exit(err.exit_code())
 }
 
-/// Listens with `SO_REUSEPORT`, so that a new process can take over from an old one on
+/// Listens with `SO_REUSEPORT`, so that a new process can take over from a running one on
 /// the same address.
 pub fn listen_reuse_port(address: SocketAddr) -> Result<TcpListener> {
     let error = |err| Error::Unreachable(format!("cannot listen on {address}: {err}"));
@@ -139,18 +142,18 @@
     socket.set_reuse_port(true).map_err(error)?;
     socket.set_nonblocking(true).map_err(error)?;
     socket.bind(&address.into()).map_err(error)?;
-    socket.listen(BACKLOG).map_err(error)?;
+    socket.listen(LISTEN_BACKLOG_CONNECTIONS).map_err(error)?;
     Ok(socket.into())
 }
 
-/// Starts logging JSON lines to standard output without ever waiting for its reader.
+/// Starts logging JSON lines to standard output without ever blocking on its reader.
 ///
-/// See [`crate::log_output`] for what happens to lines that nobody takes.
+/// See [`crate::log_output`] for what happens when the reader is too slow.
 pub fn start_stdout_logging() -> Result<LoggerHandle> {
-    let output = crate::log_output::BoundedOutput::start()
-        .map_err(|err| Error::Usage(format!("logs cannot be started: {err}")))?;
+    let writer = crate::log_output::BoundedLogWriter::start()
+        .map_err(|err| Error::Usage(format!("cannot start logging: {err}")))?;
     Logger::with(read_log_spec()?)
-        .log_to_writer(Box::new(output))
+        .log_to_writer(Box::new(writer))
         .start()
-        .map_err(|err| Error::Usage(format!("logs cannot be started: {err}")))
+        .map_err(|err| Error::Usage(format!("cannot start logging: {err}")))
 }
--- a/src/eof_error_stream.rs
+++ b/src/eof_error_stream.rs
@@ -1,10 +1,10 @@
-//! A connection on which the other side's end is an error.
+//! A TCP stream that reports end of file as an error.
 //!
-//! Towards upstreams, the client takes a connection that closes in the middle of a body for
-//! the end of the body, so that a cut answer would look whole. Towards callers, the server
-//! goes on with a request whose caller has closed its side, while here such a caller has
-//! given the request up, and the upstreams should stop working on it. See
-//! `docs/design/outcomes.md` and `docs/design/platform.md`.
+//! On connections to upstreams, the HTTP client takes a connection that closes in the middle of a
+//! body for the end of the body, so that a truncated response would look complete. On connections
+//! from callers, the HTTP server would continue a request after the caller has closed its side,
+//! but here such a caller has abandoned the request, and the upstreams should stop working on it.
+//! See `docs/design/outcomes.md` and `docs/design/platform.md`.
 
 use actix_rt::net::{ActixStream, Ready, TcpStream};
 use std::io;
@@ -12,17 +12,17 @@
 use std::task::{Context, Poll, ready};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// A TCP connection whose end is an error.
+/// A TCP stream that returns an error where the peer has closed its side.
 #[derive(Debug)]
 pub struct EofErrorStream {
     stream: TcpStream,
-    end: io::ErrorKind,
+    eof_error: io::ErrorKind,
 }
 
 impl EofErrorStream {
-    /// Wraps a connection; its end is an error of the kind `end`.
-    pub fn new(stream: TcpStream, end: io::ErrorKind) -> Self {
-        Self { stream, end }
+    /// Wraps a stream that returns an error of the kind `eof_error` at end of file.
+    pub fn new(stream: TcpStream, eof_error: io::ErrorKind) -> Self {
+        Self { stream, eof_error }
     }
 }
 
@@ -33,10 +33,10 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let this = self.get_mut();
-        let room = buf.remaining();
+        let capacity = buf.remaining();
         ready!(Pin::new(&mut this.stream).poll_read(cx, buf))?;
-        if room > 0 && buf.remaining() == room {
-            return Poll::Ready(Err(this.end.into()));
+        if capacity > 0 && buf.remaining() == capacity {
+            return Poll::Ready(Err(this.eof_error.into()));
         }
         Poll::Ready(Ok(()))
     }
--- a/src/hop_by_hop.rs
+++ b/src/hop_by_hop.rs
@@ -1,8 +1,10 @@
-//! Headers that concern one connection only and never pass on.
+//! Hop-by-hop headers, which apply to a single connection and are not forwarded.
 
 use std::collections::HashSet;
 
-const HOP_BY_HOP: [&str; 10] = [
+/// Headers that are never forwarded. `content-length` is among them because each side frames its
+/// bodies itself.
+const NEVER_FORWARDED: [&str; 10] = [
     "connection",
     "content-length",
     "keep-alive",
@@ -15,24 +17,23 @@
     "upgrade",
 ];
 
-/// The headers of one message that stay on its connection.
+/// The hop-by-hop headers of one message.
 #[derive(Debug, Clone, Default)]
 pub struct HopByHopHeaders {
-    named: HashSet<String>,
+    /// The headers that the message's `Connection` headers list, in lower case.
+    listed: HashSet<String>,
 }
 
 impl HopByHopHeaders {
-    /// Reads the values of a message's `Connection` headers, which may name others.
+    /// Parses the values of a message's `Connection` headers, which may list further headers.
     pub fn from_connection_values<'a>(connection: impl Iterator<Item = &'a str>) -> Self {
         let names = connection.flat_map(|value| value.split(','));
-        let named = names.map(|name| name.trim().to_ascii_lowercase()).collect();
-        Self { named }
+        let listed = names.map(|name| name.trim().to_ascii_lowercase()).collect();
+        Self { listed }
     }
 
-    /// Tells whether a header, named in lower case, stays on the connection.
-    ///
-    /// A body's length counts as such, since each side frames bodies by itself.
+    /// Returns whether the header with this lower-case name must not be forwarded.
     pub fn contains(&self, name: &str) -> bool {
-        HOP_BY_HOP.contains(&name) || self.named.contains(name)
+        NEVER_FORWARDED.contains(&name) || self.listed.contains(name)
     }
 }
--- a/src/http_client.rs
+++ b/src/http_client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client towards upstreams and the platform, and what its errors prove.
+//! HTTP clients for upstreams and the platform, and the classification of their errors.
 
 mod connector;
 
@@ -10,32 +10,32 @@
 use tokio::time::timeout;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-const IDLE_CONNECTION_LIFETIME: Duration = Duration::from_secs(30);
-const CONNECTIONS_LIMIT: usize = 16_384;
+const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(30);
+const MAX_CONNECTIONS: usize = 16_384;
 
-/// Makes a client that reuses connections.
+/// Creates a client that reuses connections.
 ///
-/// Time limits are set where a request is made, since the client does not know
-/// a request's deadline.
+/// The caller sets a timeout for each request, because the client does not know the request's
+/// deadline.
 pub fn pooled_client() -> Client {
-    client_keeping(IDLE_CONNECTION_LIFETIME)
+    client_with_idle_timeout(IDLE_CONNECTION_TIMEOUT)
 }
 
-/// Makes a client that opens a connection for each request.
+/// Creates a client that opens a new connection for each request.
 ///
-/// An upstream may close an idle connection just as a request is written to it,
-/// and nobody can tell then whether the request ran. Requests that may not be
-/// repeated go over fresh connections, so that this does not happen to them.
+/// An upstream may close an idle connection while a request is being written to it, and then it is
+/// unknown whether the request ran. Requests that must not be repeated use new connections, where
+/// this cannot happen.
 pub fn unpooled_client() -> Client {
-    client_keeping(Duration::ZERO)
+    client_with_idle_timeout(Duration::ZERO)
 }
 
-fn client_keeping(idle: Duration) -> Client {
+fn client_with_idle_timeout(idle_timeout: Duration) -> Client {
     let connector = Connector::new()
         .connector(connector::eof_error_connector())
         .timeout(CONNECT_TIMEOUT)
-        .conn_keep_alive(idle)
-        .limit(CONNECTIONS_LIMIT);
+        .conn_keep_alive(idle_timeout)
+        .limit(MAX_CONNECTIONS);
     Client::builder()
         .connector(connector)
         .disable_timeout()
@@ -44,21 +44,22 @@
         .finish()
 }
 
-/// How long and how much of an answer is read.
+/// Limits on reading a response body.
 #[derive(Debug, Clone, Copy)]
 pub struct ReadLimits {
-    /// The longest time in which nothing more comes.
+    /// The maximum time without new data.
     pub idle_timeout: Duration,
-    /// The longest time for all of it, for a sender that never ends.
+    /// The maximum time for the whole body, for a sender that never ends it.
     pub total_timeout: Duration,
-    /// The most bytes.
+    /// The maximum size of the body.
     pub max_bytes: usize,
 }
 
-/// Reads an answer's body for as long as more of it comes, or says why it is not whole.
+/// Reads a response body for as long as data arrives, or returns why it is incomplete.
 ///
-/// A time-out that is the same for every size fails large answers on narrow links, each time
-/// anew; see `docs/design/spreading.md`.
+/// The idle timeout restarts with each chunk: a single short timeout for bodies of every size
+/// would fail large responses on slow links, and again on each retry; see
+/// `docs/design/spreading.md`.
 pub async fn read_response_body<S>(
     res: &mut ClientResponse<S>,
     limits: ReadLimits,
@@ -66,36 +67,33 @@
 where
     S: Stream<Item = Result<Bytes, PayloadError>> + Unpin,
 {
-    let reading = timeout(limits.total_timeout, read_while_it_comes(res, limits)).await;
-    reading.map_err(|_elapsed| "the answer took too long".to_owned())?
+    let result = timeout(limits.total_timeout, read_chunks(res, limits)).await;
+    result.map_err(|_elapsed| "the response body was not complete in time".to_owned())?
 }
 
-async fn read_while_it_comes<S>(
-    res: &mut ClientResponse<S>,
-    limits: ReadLimits,
-) -> Result<Vec<u8>, String>
+async fn read_chunks<S>(res: &mut ClientResponse<S>, limits: ReadLimits) -> Result<Vec<u8>, String>
 where
     S: Stream<Item = Result<Bytes, PayloadError>> + Unpin,
 {
     let mut body = Vec::new();
     loop {
-        let coming = timeout(limits.idle_timeout, res.next()).await;
-        match coming.map_err(|_elapsed| "nothing came any more".to_owned())? {
+        let chunk = timeout(limits.idle_timeout, res.next()).await;
+        match chunk.map_err(|_elapsed| "no data arrived before the idle timeout".to_owned())? {
             None => return Ok(body),
             Some(Err(err)) => return Err(err.to_string()),
-            Some(Ok(piece)) if body.len() + piece.len() > limits.max_bytes => {
-                return Err("the answer is too large".to_owned());
+            Some(Ok(bytes)) if body.len() + bytes.len() > limits.max_bytes => {
+                return Err("the response body is too large".to_owned());
             }
-            Some(Ok(piece)) => body.extend_from_slice(&piece),
+            Some(Ok(bytes)) => body.extend_from_slice(&bytes),
         }
     }
 }
 
-/// Tells whether an error proves that no byte of the request was sent.
+/// Returns whether an error proves that no byte of the request was sent.
 ///
-/// The client reports a connection that closed *after* the request was written as
-/// `Connect(Disconnected)`, so only the errors of resolving and of opening a
-/// connection count. See `docs/design/outcomes.md`.
+/// The client also reports `Connect(Disconnected)` for a connection that closed *after* the
+/// request was written, so only errors of resolving a name and of opening a connection count. See
+/// `docs/design/outcomes.md`.
 pub fn proves_unsent(err: &SendRequestError) -> bool {
     match err {
         SendRequestError::Url(_) => true,
--- a/src/http_client/connector.rs
+++ b/src/http_client/connector.rs
@@ -1,4 +1,5 @@
-//! Connections to upstreams whose end is an error, so that only a body's own framing ends it.
+//! A connector whose connections report end of file as an error, so that a response body ends only
+//! where its framing says so.
 
 use crate::eof_error_stream::EofErrorStream;
 use actix_rt::net::TcpStream;
@@ -7,7 +8,7 @@
 use awc::http::Uri;
 use std::io;
 
-/// Opens connections whose end is an error.
+/// Returns a connector whose connections report end of file as `UnexpectedEof`.
 pub fn eof_error_connector() -> impl Service<
     ConnectInfo<Uri>,
     Response = Connection<Uri, EofErrorStream>,
@@ -20,7 +21,7 @@
         .map(|connection: Connection<Uri, TcpStream>| {
             let (stream, uri) = connection.into_parts();
             if let Err(err) = stream.set_nodelay(true) {
-                log::debug!("small packets may wait for others: {err}");
+                log::debug!("cannot set TCP_NODELAY; small packets may be delayed: {err}");
             }
             Connection::new(
                 uri,
--- a/src/keys.rs
+++ b/src/keys.rs
@@ -1,8 +1,8 @@
-//! Operators' keys and the fleet's certificates.
+//! Operators' signing keys and the fleet's certificates.
 //!
-//! Operators sign changes with ed25519 keys. The processes of one partner's
-//! fleet know one another by certificates of the fleet's own authority. How both
-//! are made, handed out and replaced stands in `docs/OPERATIONS.md`.
+//! Operators sign changes with ed25519 keys. The processes of one partner's fleet authenticate
+//! each other with certificates that the fleet's own authority has issued. `docs/OPERATIONS.md`
+//! describes how both are generated, distributed and replaced.
 
 use crate::error::{Error, Result};
 use base64::Engine as _;
@@ -11,7 +11,7 @@
 use rcgen::{BasicConstraints, CertificateParams, IsCa, KeyPair, KeyUsagePurpose};
 use std::path::Path;
 
-/// The name that every certificate of a fleet carries; peers check it in place of a host name.
+/// The subject name in every certificate of a fleet, which peers verify instead of a host name.
 pub const FLEET_SERVER_NAME: &str = "gatepier-fleet";
 
 const KEY_BYTES: usize = 32;
@@ -20,13 +20,13 @@
 /// An operator's signing key.
 #[derive(Debug, Clone)]
 pub struct OperatorKey {
-    /// The operator's name, as it stands in the audit trail.
+    /// The operator's name, as shown in the change log.
     pub operator: String,
     key: SigningKey,
 }
 
 impl OperatorKey {
-    /// Makes a new key from the machine's random numbers.
+    /// Generates a new key from the system's random numbers.
     pub fn generate(operator: &str) -> Self {
         let secret: [u8; KEY_BYTES] = rand::random();
         Self {
@@ -35,13 +35,13 @@
         }
     }
 
-    /// Reads a key file, which holds the operator's name and the secret in base64.
+    /// Loads a key file, which contains the operator's name and the secret key in base64.
     pub fn load(file: &Path) -> Result<Self> {
         let text =
             std::fs::read_to_string(file).map_err(|err| Error::File(file.to_owned(), err))?;
         Self::parse(&text).ok_or_else(|| {
             Error::Key(format!(
-                "{} holds no operator key, see `gatepier keygen`",
+                "{} is not an operator key file; generate one with `gatepier keygen operator`",
                 file.display()
             ))
         })
@@ -56,12 +56,12 @@
         })
     }
 
-    /// Returns the text of a key file.
+    /// Returns the contents of the key file.
     pub fn to_file_text(&self) -> String {
         format!("{} {}\n", self.operator, BASE64.encode(self.key.to_bytes()))
     }
 
-    /// Returns the public half, for the settings of daemons and operators.
+    /// Returns the public key, which the settings of daemons and operators list.
     pub fn public(&self) -> PublicKey {
         PublicKey(self.key.verifying_key())
     }
@@ -72,18 +72,18 @@
     }
 }
 
-/// The public half of an operator's key.
+/// An operator's public key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PublicKey(VerifyingKey);
 
 impl PublicKey {
-    /// Reads a key from base64.
+    /// Parses a key in base64.
     pub fn parse(text: &str) -> Option<Self> {
         let bytes: [u8; KEY_BYTES] = BASE64.decode(text).ok()?.try_into().ok()?;
         VerifyingKey::from_bytes(&bytes).ok().map(Self)
     }
 
-    /// Tells whether a signature in base64 is this key's over a message.
+    /// Returns whether this key made a signature, given in base64, of a message.
     pub fn verifies(&self, message: &[u8], signature: &str) -> bool {
         let bytes = BASE64.decode(signature).ok();
         let bytes: Option<[u8; SIGNATURE_BYTES]> = bytes.and_then(|bytes| bytes.try_into().ok());
@@ -101,12 +101,12 @@
     }
 }
 
-/// Returns bytes in hexadecimal digits.
+/// Encodes bytes as lower-case hexadecimal digits.
 pub fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// A fleet's certificate authority, which signs the certificates of its boxes.
+/// A fleet's certificate authority, which issues the certificates of its boxes.
 #[derive(Debug)]
 pub struct FleetAuthority {
     key: KeyPair,
@@ -114,17 +114,17 @@
     issuer_params: CertificateParams,
 }
 
-/// A certificate with its key, both in PEM.
+/// A certificate and its private key, both in PEM.
 #[derive(Debug, Clone)]
 pub struct FleetCertificate {
     /// The certificate.
     pub certificate_pem: String,
-    /// Its private key.
+    /// The private key.
     pub key_pem: String,
 }
 
 impl FleetAuthority {
-    /// Makes a new authority.
+    /// Generates a new authority with a self-signed certificate.
     pub fn generate(partner: &str) -> Result<Self> {
         let key = KeyPair::generate().map_err(key_error)?;
         let params = authority_params(partner)?;
@@ -136,7 +136,7 @@
         })
     }
 
-    /// Reads an authority back from the key that [`Self::key_pem`] gave.
+    /// Restores an authority from its certificate and the key that [`Self::key_pem`] returned.
     pub fn from_pem(partner: &str, certificate_pem: &str, key_pem: &str) -> Result<Self> {
         let key = KeyPair::from_pem(key_pem).map_err(key_error)?;
         let issuer_params = authority_params(partner)?;
@@ -152,7 +152,7 @@
         &self.certificate_pem
     }
 
-    /// Returns the authority's private key, which no box needs.
+    /// Returns the authority's private key, which must not be copied to the boxes.
     pub fn key_pem(&self) -> String {
         self.key.serialize_pem()
     }
@@ -182,5 +182,5 @@
 }
 
 fn key_error(err: rcgen::Error) -> Error {
-    Error::Key(format!("cannot make a certificate: {err}"))
+    Error::Key(format!("cannot create a certificate: {err}"))
 }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! OpenTelemetry metrics and the endpoint that serves them as text.
+//! OpenTelemetry metrics, and the HTTP endpoints for Prometheus and health checks.
 
 use crate::error::{Error, Result};
 use actix_http::{HttpService, Request, Response, StatusCode};
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// A process's metrics.
+/// A process's metrics and readiness.
 #[derive(Debug, Clone)]
 pub struct Metrics {
     registry: Registry,
@@ -20,14 +20,14 @@
 }
 
 impl Metrics {
-    /// Makes an empty set of metrics.
+    /// Creates an empty set of metrics; the process is not ready yet.
     pub fn new() -> Result<Self> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
             .without_scope_info()
             .build()
-            .map_err(|err| Error::Usage(format!("metrics cannot be started: {err}")))?;
+            .map_err(|err| Error::Usage(format!("cannot create the metrics exporter: {err}")))?;
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         Ok(Self {
             registry,
@@ -36,27 +36,28 @@
         })
     }
 
-    /// Returns the meter that makes instruments.
+    /// Returns the meter, which creates instruments.
     pub fn meter(&self) -> Meter {
         self.provider.meter("gatepier")
     }
 
-    /// Records whether the process takes work, as `/ready` tells the balancer.
+    /// Sets whether the process accepts requests, which `/ready` reports to the load balancer.
     pub fn set_ready(&self, ready: bool) {
         self.ready.store(ready, Ordering::Relaxed);
     }
 
-    fn text(&self) -> Vec<u8> {
+    /// Encodes all metrics in the Prometheus text format.
+    fn encode_text(&self) -> Vec<u8> {
         let mut buf = Vec::new();
         if let Err(err) = TextEncoder::new().encode(&self.registry.gather(), &mut buf) {
-            log::error!("metrics cannot be encoded: {err}");
+            log::error!("cannot encode metrics: {err}");
         }
         buf
     }
 
-    fn answer(&self, path: &str) -> (StatusCode, Vec<u8>) {
+    fn respond(&self, path: &str) -> (StatusCode, Vec<u8>) {
         match path {
-            "/metrics" => (StatusCode::OK, self.text()),
+            "/metrics" => (StatusCode::OK, self.encode_text()),
             "/live" => (StatusCode::OK, b"live\n".to_vec()),
             "/ready" if self.ready.load(Ordering::Relaxed) => (StatusCode::OK, b"ready\n".to_vec()),
             "/ready" => (StatusCode::SERVICE_UNAVAILABLE, b"not ready\n".to_vec()),
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Serves `/metrics`, `/ready` and `/live` in the background.
+    /// Starts a server for `/metrics`, `/ready` and `/live`.
     pub fn serve(&self, address: SocketAddr) -> Result<ServerHandle> {
         let metrics = self.clone();
         let server = Server::build()
@@ -77,7 +78,7 @@
                     let metrics = metrics.clone();
                     HttpService::build()
                         .h1(move |req: Request| {
-                            let (status, body) = metrics.answer(req.path());
+                            let (status, body) = metrics.respond(req.path());
                             async move {
                                 let res = Response::build(status).body(body);
                                 Ok::<_, Infallible>(res)
--- a/src/operate.rs
+++ b/src/operate.rs
@@ -1,4 +1,4 @@
-//! What the operators' command line does.
+//! The operators' commands.
 
 mod box_logs;
 mod keygen;
@@ -16,13 +16,13 @@
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
 
-/// Carries out one command and returns what is to be printed.
+/// Runs a command and returns the text to print.
 pub async fn run(options: &Options) -> Result<String> {
     let load = || OperatorSettings::load(&options.settings);
     let output = match &options.command {
         Command::Help => return Ok(crate::cli::HELP.to_owned()),
         Command::Version => return Ok(format!("gatepier {}\n", env!("CARGO_PKG_VERSION"))),
-        Command::Check(files) => check(files)?,
+        Command::Check(files) => check_bundles(files)?,
         Command::Keygen(keygen) => keygen::run(keygen)?,
         Command::Propose(file) => propose(&load()?, file).await?,
         Command::Sign(file) => sign(&load()?, file).await?,
@@ -31,10 +31,10 @@
                 version: version.clone(),
                 percent: *percent,
             };
-            change(&load()?, action).await?
+            append_change(&load()?, action).await?
         }
         Command::Withdraw(version) => {
-            change(
+            append_change(
                 &load()?,
                 Action::Withdraw {
                     version: version.clone(),
@@ -43,7 +43,7 @@
             .await?
         }
         Command::Lift(version) => {
-            change(
+            append_change(
                 &load()?,
                 Action::Lift {
                     version: version.clone(),
@@ -56,12 +56,14 @@
         Command::Ledger => report::ledger(&load()?).await?,
         Command::Explain { id, logs } if logs.is_empty() => report::explain(&load()?, id).await?,
         Command::Explain { id, logs } => box_logs::explain(id, logs)?,
-        Command::Demo { .. } => return Err(Error::Usage("the demo runs by itself".to_owned())),
+        Command::Demo { .. } => {
+            return Err(Error::Usage("the demo runs separately".to_owned()));
+        }
     };
-    Ok(output.print(options.json))
+    Ok(output.render(options.json))
 }
 
-/// What a command prints: lines for people, or a value for scripts.
+/// A command's output: lines of text, or a JSON value for scripts.
 #[derive(Debug)]
 struct Output {
     lines: Vec<String>,
@@ -69,7 +71,7 @@
 }
 
 impl Output {
-    fn print(&self, as_json: bool) -> String {
+    fn render(&self, as_json: bool) -> String {
         if as_json {
             format!("{}\n", self.value)
         } else {
@@ -78,7 +80,7 @@
     }
 }
 
-fn check(files: &[PathBuf]) -> Result<Output> {
+fn check_bundles(files: &[PathBuf]) -> Result<Output> {
     let mut findings = Vec::new();
     let mut lines = Vec::new();
     for file in files {
@@ -89,7 +91,7 @@
                 bundle.partner,
                 digest_of(&text)
             )),
-            Err(Error::Faulty(found)) => findings.extend(found),
+            Err(Error::Faulty(bundle_findings)) => findings.extend(bundle_findings),
             Err(err) => return Err(err),
         }
     }
@@ -102,12 +104,12 @@
     })
 }
 
-/// Reads a bundle and refuses one of another partner.
+/// Reads a bundle and returns its text; fails if it belongs to another partner.
 fn load_own_bundle(settings: &OperatorSettings, file: &Path) -> Result<String> {
     let (bundle, text) = Bundle::load(file)?;
     if bundle.partner != settings.partner {
         return Err(Error::Refused(format!(
-            "the bundle belongs to `{}`, these settings to `{}`",
+            "the bundle is of partner `{}`, but the operator settings are of partner `{}`",
             bundle.partner, settings.partner
         )));
     }
@@ -125,22 +127,22 @@
     let entry = log
         .append(Action::Propose { digest, signature }, &key, Now::read())
         .await?;
-    Ok(changed(&entry))
+    Ok(change_output(&entry))
 }
 
 async fn sign(settings: &OperatorSettings, file: &Path) -> Result<Output> {
     let digest = digest_of(&load_own_bundle(settings, file)?);
     let key = OperatorKey::load(&settings.key)?;
     let signature = key.sign(digest.as_bytes());
-    change_with(settings, Action::Sign { digest, signature }, &key).await
+    append_signed_by(settings, Action::Sign { digest, signature }, &key).await
 }
 
-async fn change(settings: &OperatorSettings, action: Action) -> Result<Output> {
+async fn append_change(settings: &OperatorSettings, action: Action) -> Result<Output> {
     let key = OperatorKey::load(&settings.key)?;
-    change_with(settings, action, &key).await
+    append_signed_by(settings, action, &key).await
 }
 
-async fn change_with(
+async fn append_signed_by(
     settings: &OperatorSettings,
     action: Action,
     key: &OperatorKey,
@@ -148,10 +150,10 @@
     let store = EtcdStore::new(settings.store);
     let log = ChangeLog::new(&store, &settings.partner, &settings.operators);
     let entry = log.append(action, key, Now::read()).await?;
-    Ok(changed(&entry))
+    Ok(change_output(&entry))
 }
 
-fn changed(entry: &ChangeEntry) -> Output {
+fn change_output(entry: &ChangeEntry) -> Output {
     let line = format!(
         "generation {}: {} by {}",
         entry.generation, entry.action, entry.operator
--- a/src/operate/box_logs.rs
+++ b/src/operate/box_logs.rs
@@ -1,7 +1,9 @@
-//! Tells a request's story from the log lines of boxes on the users' platform.
+//! Reconstructs what happened to a request from the logs of boxes on the users' platform.
 //!
-//! Boxes keep nothing, so what became of a request stands only in what they wrote to
-//! standard output. Several boxes' logs can be read at once. See `docs/OPERATIONS.md`.
+//! Boxes store nothing, so the only record of a request is the log that they wrote to standard
+//! output. The logs of several boxes can be read together, and logs of older builds must remain
+//! readable: the keys and texts matched here are those that boxes write. See
+//! `docs/OPERATIONS.md`.
 
 use super::Output;
 use crate::error::{Error, Result};
@@ -11,33 +13,33 @@
 use std::io::Read as _;
 use std::path::{Path, PathBuf};
 
-/// Names standard input among the files.
-const STANDARD_INPUT: &str = "-";
-/// How many lines about the box itself are shown from before a request.
-const LINES_AROUND: usize = 6;
+/// The file name that stands for standard input.
+const STDIN_FILE_NAME: &str = "-";
+/// The maximum number of lines about the box itself that are shown from before the request.
+const MAX_PRECEDING_BOX_LINES: usize = 6;
 
 /// One line of a box's log.
 #[derive(Debug, Clone, Deserialize)]
-struct Line {
+struct LogLine {
     #[serde(default)]
     timestamp: String,
     #[serde(default)]
     kv: Map<String, Value>,
     #[serde(default)]
     text: String,
-    /// The file that holds it.
+    /// The name of the log file that contains the line.
     #[serde(skip)]
     file: String,
 }
 
-impl Line {
-    fn request(&self) -> Option<&str> {
+impl LogLine {
+    fn request_id(&self) -> Option<&str> {
         self.kv.get("request").and_then(Value::as_str)
     }
 
-    /// Tells whether the line is about the box itself and may decide about requests.
-    fn is_about_the_box(&self) -> bool {
-        const BEGINNINGS: [&str; 8] = [
+    /// Returns whether the line reports an event of the box itself that can affect requests.
+    fn is_box_event(&self) -> bool {
+        const BOX_EVENT_PREFIXES: [&str; 8] = [
             "the store",
             "started",
             "stopping",
@@ -47,74 +49,79 @@
             "version found bad",
             "roll-out taken on",
         ];
-        let begins = |beginning: &&str| self.text.starts_with(*beginning);
-        self.request().is_none() && BEGINNINGS.iter().any(begins)
+        let is_prefix = |prefix: &&str| self.text.starts_with(*prefix);
+        self.request_id().is_none() && BOX_EVENT_PREFIXES.iter().any(is_prefix)
     }
 
-    fn write(&self) -> String {
+    fn render(&self) -> String {
         let inputs: Vec<String> = self
             .kv
             .iter()
             .filter(|(name, value)| *name != "request" && *value != "")
-            .map(|(name, value)| format!("{name}={}", plain(value)))
+            .map(|(name, value)| format!("{name}={}", to_plain_text(value)))
             .collect();
         let (at, file, text) = (&self.timestamp, &self.file, &self.text);
         format!("  {at}  {file}  {text}  {}", inputs.join(" "))
     }
 }
 
-fn plain(value: &Value) -> String {
+/// Returns a value as text, a string without its quotes.
+fn to_plain_text(value: &Value) -> String {
     value
         .as_str()
         .map_or_else(|| value.to_string(), str::to_owned)
 }
 
-/// Reads logs and tells what became of a request.
+/// Reads logs and returns a request's lines, the box's events before it, and its outcome.
 pub(super) fn explain(id: &str, logs: &[PathBuf]) -> Result<Output> {
     let mut lines = Vec::new();
     for file in logs {
-        lines.extend(parse(&read(file)?, file));
+        lines.extend(parse_lines(&read_file(file)?, file));
     }
     lines.sort_by(|a, b| a.timestamp.cmp(&b.timestamp));
-    let story: Vec<&Line> = lines
+    let request_lines: Vec<&LogLine> = lines
         .iter()
-        .filter(|line| line.request() == Some(id))
+        .filter(|line| line.request_id() == Some(id))
         .collect();
-    let Some(first) = story.first() else {
-        return Err(Error::Refused(format!("no line names a request `{id}`")));
+    let Some(first) = request_lines.first() else {
+        return Err(Error::Refused(format!(
+            "no log line mentions request `{id}`"
+        )));
     };
-    let around = lines_around(&lines, first);
-    let outcome = outcome(&story);
-    let mut told = vec![format!("request {id}")];
-    told.extend(story.iter().map(|line| line.write()));
-    if !around.is_empty() {
-        told.push("the box before it".to_owned());
-        told.extend(around.iter().map(|line| line.write()));
+    let preceding = preceding_box_lines(&lines, first);
+    let outcome = describe_outcome(&request_lines);
+    let mut output_lines = vec![format!("request {id}")];
+    output_lines.extend(request_lines.iter().map(|line| line.render()));
+    if !preceding.is_empty() {
+        output_lines.push("events of the box before the request".to_owned());
+        output_lines.extend(preceding.iter().map(|line| line.render()));
     }
-    told.push(format!("outcome: {outcome}"));
-    let values: Vec<Value> = story
+    output_lines.push(format!("outcome: {outcome}"));
+    let line_values: Vec<Value> = request_lines
         .iter()
         .map(|line| json!({"at": line.timestamp, "file": line.file, "text": line.text, "inputs": line.kv}))
         .collect();
     Ok(Output {
-        lines: told,
-        value: json!({"request": id, "lines": values, "outcome": outcome}),
+        lines: output_lines,
+        value: json!({"request": id, "lines": line_values, "outcome": outcome}),
     })
 }
 
-fn read(file: &Path) -> Result<Vec<u8>> {
+fn read_file(file: &Path) -> Result<Vec<u8>> {
     let mut bytes = Vec::new();
-    let outcome = match file.as_os_str() == STANDARD_INPUT {
+    let result = match file.as_os_str() == STDIN_FILE_NAME {
         true => std::io::stdin().read_to_end(&mut bytes),
         false => std::fs::File::open(file).and_then(|mut f| f.read_to_end(&mut bytes)),
     };
-    outcome.map_err(|err| Error::File(file.to_owned(), err))?;
+    result.map_err(|err| Error::File(file.to_owned(), err))?;
     Ok(bytes)
 }
 
-/// Reads lines; what stands before an object, such as a collector's own prefix, and lines
-/// that are none are passed over, since a process may have ended in the middle of one.
-fn parse(bytes: &[u8], file: &Path) -> Vec<Line> {
+/// Parses log lines, each of which contains a JSON object.
+///
+/// Text before the object is skipped, such as the prefix that a log collector adds. Lines that
+/// cannot be parsed are skipped too, since a process may have ended in the middle of a line.
+fn parse_lines(bytes: &[u8], file: &Path) -> Vec<LogLine> {
     let name = file
         .file_name()
         .unwrap_or(file.as_os_str())
@@ -122,57 +129,58 @@
     String::from_utf8_lossy(bytes)
         .lines()
         .filter_map(|text| text.find('{').and_then(|start| text.get(start..)))
-        .filter_map(|text| serde_json::from_str::<Line>(text).ok())
-        .map(|line| Line {
+        .filter_map(|text| serde_json::from_str::<LogLine>(text).ok())
+        .map(|line| LogLine {
             file: name.clone().into_owned(),
             ..line
         })
         .collect()
 }
 
-/// Returns the last lines about the box itself from before a request.
-fn lines_around<'a>(lines: &'a [Line], first: &Line) -> Vec<&'a Line> {
-    let mut before: Vec<&Line> = lines
+/// Returns the last events of the box before a request's first line, from the same file.
+fn preceding_box_lines<'a>(lines: &'a [LogLine], first: &LogLine) -> Vec<&'a LogLine> {
+    let mut box_lines: Vec<&LogLine> = lines
         .iter()
         .take_while(|line| line.timestamp <= first.timestamp)
-        .filter(|line| line.file == first.file && line.is_about_the_box())
+        .filter(|line| line.file == first.file && line.is_box_event())
         .collect();
-    before.split_off(before.len().saturating_sub(LINES_AROUND))
+    box_lines.split_off(box_lines.len().saturating_sub(MAX_PRECEDING_BOX_LINES))
 }
 
-/// Says how a request ended, and what its lines leave open.
-fn outcome(story: &[&Line]) -> String {
-    let Some(last) = story.iter().rev().find(|line| ends(line)) else {
+/// Describes how a request ended, and whether it may have run if its lines say so.
+fn describe_outcome(request_lines: &[&LogLine]) -> String {
+    let Some(last) = request_lines.iter().rev().find(|line| is_final(line)) else {
         return "not known: no final line; its caller left, the process ended, or the log is cut"
             .to_owned();
     };
-    let text = |name: &str| last.kv.get(name).map(plain).unwrap_or_default();
+    let value = |name: &str| last.kv.get(name).map(to_plain_text).unwrap_or_default();
     match last.text.as_str() {
         "refused" => {
             let ran = match last.kv.get("may_have_run").and_then(Value::as_bool) {
                 Some(true) => "it may have run",
                 _ => "it ran nowhere",
             };
-            let reason = text("reason");
+            let reason = value("reason");
             let meaning = RefusalReason::from_name(&reason).map_or("", RefusalReason::explanation);
             format!(
                 "refused, {reason}: {meaning}; {ran}; after {} ms",
-                text("took_ms")
+                value("took_ms")
             )
         }
         "passed on" => {
-            let (status, took, tries) = (text("status"), text("took_ms"), text("tries"));
-            format!("answered {status} after {took} ms and {tries} tries")
+            let (status, took_ms, tries) = (value("status"), value("took_ms"), value("tries"));
+            format!("answered {status} after {took_ms} ms and {tries} tries")
         }
         "stream ended" => {
-            let (events, pause) = (text("events"), text("longest_pause_ms"));
-            format!("whole stream of {events} events, longest pause {pause} ms")
+            let (events, pause_ms) = (value("events"), value("longest_pause_ms"));
+            format!("whole stream of {events} events, longest pause {pause_ms} ms")
         }
         cut => format!("cut: {cut}"),
     }
 }
 
-fn ends(line: &Line) -> bool {
-    let finals = ["refused", "passed on", "stream ended"];
-    finals.contains(&line.text.as_str()) || line.text.starts_with("stream cut")
+/// Returns whether a line reports the end of a request.
+fn is_final(line: &LogLine) -> bool {
+    let final_texts = ["refused", "passed on", "stream ended"];
+    final_texts.contains(&line.text.as_str()) || line.text.starts_with("stream cut")
 }
--- a/src/operate/report.rs
+++ b/src/operate/report.rs
@@ -1,4 +1,4 @@
-//! Shows how things stand and what was done.
+//! Reports on the fleet: agents, change log, ledger and decisions.
 
 use super::Output;
 use crate::change::SignedEntry;
@@ -17,35 +17,36 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const AGENT_DEADLINE: Duration = Duration::from_secs(3);
+/// The timeout of a call to an agent.
+const AGENT_CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Asks all agents the same; an agent that does not answer is named in the result.
-async fn ask_agents(
+/// Sends a request to all agents and returns each one's address with its response or its error.
+async fn call_all_agents(
     settings: &OperatorSettings,
     request: &ControlRequest,
 ) -> Result<Vec<(SocketAddr, std::result::Result<ControlResponse, String>)>> {
     let tls = FleetTls::load(&settings.tls)?;
-    let ask = |address: SocketAddr| {
+    let call = |address: SocketAddr| {
         let tls = tls.clone();
         async move {
             let client = WireClient::new(address, tls);
-            let answer = client.call(request, AGENT_DEADLINE).await;
-            (address, answer.map_err(|err| err.to_string()))
+            let response = client.call(request, AGENT_CALL_TIMEOUT).await;
+            (address, response.map_err(|err| err.to_string()))
         }
     };
-    Ok(join_all(settings.agents.iter().copied().map(ask)).await)
+    Ok(join_all(settings.agents.iter().copied().map(call)).await)
 }
 
 pub(super) async fn status(settings: &OperatorSettings) -> Result<Output> {
-    let answers = ask_agents(settings, &ControlRequest::Status).await?;
+    let responses = call_all_agents(settings, &ControlRequest::Status).await?;
     let mut lines = vec![format!(
         "{:<22} {:<14} {:>10} {:>12} {:>9} {:>4} {:>6} {:>7} {:>6}",
         "BOX", "HALL", "GENERATION", "BUNDLE", "STORE AGE", "HUB", "PEERS", "SHARDS", "BILLS"
     )];
     let mut values = Vec::new();
     let mut suspensions = BTreeMap::new();
-    for (address, answer) in answers {
-        match answer {
+    for (address, response) in responses {
+        match response {
             Ok(ControlResponse::Status(status)) => {
                 lines.push(status_line(&status));
                 for suspension in &status.suspensions {
@@ -53,9 +54,9 @@
                 }
                 values.push(json!(*status));
             }
-            Ok(_) => lines.push(format!("{address} gave an unfitting answer")),
+            Ok(_) => lines.push(format!("{address}: unexpected response")),
             Err(err) => {
-                lines.push(format!("{address} does not answer: {err}"));
+                lines.push(format!("{address}: no response: {err}"));
                 values.push(json!({ "address": address, "error": err }));
             }
         }
@@ -70,11 +71,11 @@
 }
 
 fn status_line(status: &AgentStatus) -> String {
-    const DIGEST_SHOWN: usize = 12;
+    const DIGEST_DIGITS: usize = 12;
     let bundle = status
         .bundle
         .as_deref()
-        .map_or("none", |digest| &digest[..DIGEST_SHOWN]);
+        .map_or("none", |digest| &digest[..DIGEST_DIGITS]);
     let age = status
         .store_age_ms
         .map_or("never".to_owned(), |age| format!("{age} ms"));
@@ -116,12 +117,12 @@
         return (line, json!({ "valid": false }));
     };
     let verified = signed.verify(&settings.partner, &settings.operators);
-    let mark = match &verified {
+    let validity = match &verified {
         Ok(_) => String::new(),
         Err(err) => format!("  NOT VALID: {err}"),
     };
     let line = format!(
-        "{:>6}  {}  {:<12} {}{mark}",
+        "{:>6}  {}  {:<12} {}{validity}",
         entry.generation.0, entry.at, entry.operator, entry.action
     );
     let value = json!({
@@ -140,10 +141,10 @@
     let ledger = read_ledger(&store, &settings.partner)
         .await
         .map_err(|err| Error::Unreachable(err.to_string()))?;
-    let mut sums: BTreeMap<(String, String), (u64, u64, u64)> = BTreeMap::new();
+    let mut totals: BTreeMap<(String, String), (u64, u64, u64)> = BTreeMap::new();
     for bill in ledger.values() {
         let key = (bill.key.organisation.clone(), bill.ran_on.clone());
-        let (count, tokens, cost) = sums.entry(key).or_default();
+        let (count, tokens, cost) = totals.entry(key).or_default();
         *count += 1;
         *tokens += bill.tokens;
         *cost += bill.cost_micros;
@@ -153,7 +154,7 @@
         "ORGANISATION", "RAN ON", "BILLS", "TOKENS", "COST MICROS"
     )];
     let mut values = Vec::new();
-    for ((organisation, ran_on), (count, tokens, cost)) in sums {
+    for ((organisation, ran_on), (count, tokens, cost)) in totals {
         lines.push(format!(
             "{organisation:<24} {ran_on:<28} {count:>8} {tokens:>10} {cost:>12}"
         ));
@@ -172,24 +173,24 @@
 }
 
 pub(super) async fn explain(settings: &OperatorSettings, id: &str) -> Result<Output> {
-    let answers = ask_agents(settings, &ControlRequest::Explain(id.to_owned())).await?;
+    let responses = call_all_agents(settings, &ControlRequest::Explain(id.to_owned())).await?;
     let mut records = Vec::new();
-    let mut silent = Vec::new();
-    for (address, answer) in answers {
-        match answer {
+    let mut failed_agents = Vec::new();
+    for (address, response) in responses {
+        match response {
             Ok(ControlResponse::Explained(found)) => records.extend(found),
-            Ok(_) => silent.push(address.to_string()),
-            Err(err) => silent.push(format!("{address} ({err})")),
+            Ok(_) => failed_agents.push(address.to_string()),
+            Err(err) => failed_agents.push(format!("{address} ({err})")),
         }
     }
     if records.is_empty() {
-        let unheard = if silent.is_empty() {
+        let failed_agents_note = if failed_agents.is_empty() {
             String::new()
         } else {
-            format!("; not heard: {}", silent.join(", "))
+            format!("; no usable response from: {}", failed_agents.join(", "))
         };
         return Err(Error::Refused(format!(
-            "no agent remembers a request `{id}`{unheard}"
+            "no agent has a record of request `{id}`{failed_agents_note}"
         )));
     }
     records.sort_by_key(|record| record.at);
--- a/tests/lab.rs
+++ b/tests/lab.rs
@@ -1,4 +1,4 @@
-//! The lab's own promises, on which the other tests rely.
+//! The lab's `free_address`, on which the other tests rely.
 
 mod common;
 
@@ -9,51 +9,53 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Threads that start processes, and addresses that are drawn meanwhile.
-const STARTING_THREADS: usize = 4;
-const ADDRESSES_TRIED: usize = 3000;
+/// The number of threads that start processes all the time.
+const SPAWNING_THREADS: usize = 4;
+/// The number of addresses requested meanwhile.
+const REQUESTED_ADDRESSES: usize = 3000;
 
-/// Where the system takes the ports of sockets that ask for none.
-fn first_port_of_the_system() -> u16 {
+/// Returns the lowest port that the system assigns to sockets that request none.
+fn first_ephemeral_port() -> u16 {
     let range = std::fs::read_to_string("/proc/sys/net/ipv4/ip_local_port_range").unwrap();
     range.split_whitespace().next().unwrap().parse().unwrap()
 }
 
 cases! {
-    address_given_out_cannot_be_taken_by_a_socket_that_asks_for_none => async {
-        // Fails where ports of the system's own range are given out: a listener on all
-        // addresses of another process then had an agent's port (a CI run beside a bench).
-        let first = first_port_of_the_system();
+    free_address_is_below_the_ephemeral_port_range => async {
+        // Guards against ports from the ephemeral range, which the system may assign to another
+        // process: in CI, beside another test bench, a process that listened on all addresses had
+        // got an agent's port.
+        let first = first_ephemeral_port();
         for _ in 0..64 {
             expect_that!(free_address().unwrap().port(), lt(first));
         }
     };
 
-    address_given_out_can_be_listened_on_while_processes_are_started => async {
-        // Fails where an address is tried by listening on it: a process that another thread
-        // starts at that moment has the socket too, until it runs its own program, and beside
-        // load that took longer than it took the new owner of the address to listen there.
+    free_address_can_be_bound_while_processes_are_started => async {
+        // Guards against probing an address by listening on it: a process that another thread
+        // forks at that moment inherits the socket until it executes its program. Under load
+        // that took longer than the new owner of the address took to bind it.
         let is_done = Arc::new(AtomicBool::new(false));
-        let starters: Vec<_> = (0..STARTING_THREADS)
+        let spawners: Vec<_> = (0..SPAWNING_THREADS)
             .map(|_| {
                 let is_done = is_done.clone();
                 std::thread::spawn(move || {
                     while !is_done.load(Ordering::Relaxed) {
                         let program = env!("CARGO_BIN_EXE_gatepier");
-                        let started = Command::new(program).arg("--version").stdout(Stdio::null()).status();
-                        assert!(started.is_ok_and(|status| status.success()));
+                        let result = Command::new(program).arg("--version").stdout(Stdio::null()).status();
+                        assert!(result.is_ok_and(|status| status.success()));
                     }
                 })
             })
             .collect();
-        for _ in 0..ADDRESSES_TRIED {
+        for _ in 0..REQUESTED_ADDRESSES {
             let address = free_address().unwrap();
-            let listened = TcpListener::bind(address);
-            expect_that!(listened.as_ref().err().map(ToString::to_string), none(), "{address}");
+            let bound = TcpListener::bind(address);
+            expect_that!(bound.as_ref().err().map(ToString::to_string), none(), "{address}");
         }
         is_done.store(true, Ordering::Relaxed);
-        for starter in starters {
-            starter.join().unwrap();
+        for spawner in spawners {
+            spawner.join().unwrap();
         }
     };
 }
--- a/tests/measure.rs
+++ b/tests/measure.rs
@@ -1,8 +1,8 @@
-//! Measurements, each side by side with its baseline in one run.
+//! Benchmarks, each measured next to its baseline in the same run.
 //!
 //! `GATEPIER_MEASURE=1 cargo test --release --test measure -- --nocapture --test-threads 1`
-//! takes the figures of docs/measurements/; without the variable each measurement runs
-//! for a moment only, to see that it works.
+//! takes the figures of docs/measurements/. Without the variable, each benchmark runs only
+//! briefly, to check that it works.
 
 mod common;
 
@@ -19,60 +19,72 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long the platform's store takes to answer, as the brief says: milliseconds.
+/// The response time of the platform's store according to the requirements, in milliseconds.
 const STORE_DELAY_MS: u64 = 3;
 
-fn is_full() -> bool {
+fn is_full_run() -> bool {
     std::env::var("GATEPIER_MEASURE").is_ok()
 }
 
-fn seconds(full: u64) -> Duration {
-    if is_full() {
-        Duration::from_secs(full)
+/// Returns the given duration in a full run, and a short one otherwise.
+fn full_or_short_duration(full_seconds: u64) -> Duration {
+    if is_full_run() {
+        Duration::from_secs(full_seconds)
     } else {
         Duration::from_millis(300)
     }
 }
 
-async fn load(plan: LoadPlan) -> LoadReport {
+async fn run_load(plan: LoadPlan) -> LoadReport {
     let run = move || gatepier::lab::load::run(&plan).unwrap();
     actix_rt::task::spawn_blocking(run).await.unwrap()
 }
 
-fn plan(target: SocketAddr, path: &str, body: Option<Value>, rate: f64, full: u64) -> LoadPlan {
+fn load_plan(
+    target: SocketAddr,
+    path: &str,
+    body: Option<Value>,
+    rate: f64,
+    full_seconds: u64,
+) -> LoadPlan {
     LoadPlan {
         target,
         path: path.to_owned(),
         credential: Some("comics-key".to_owned()),
         body,
         rate,
-        duration: seconds(full),
+        duration: full_or_short_duration(full_seconds),
         threads: 2,
     }
 }
 
-fn show(name: &str, report: &LoadReport) {
+fn print_report(name: &str, report: &LoadReport) {
     println!("--- {name}\n{}", report.to_text());
 }
 
-async fn compare(name: &str, bench: &Bench, direct: SocketAddr, mut asked: LoadPlan) {
+async fn compare_direct_and_routed(
+    name: &str,
+    bench: &Bench,
+    direct: SocketAddr,
+    mut plan: LoadPlan,
+) {
     let routed = bench.boxes["ikeja-1"].files.router;
-    // The pair is taken in turns, so that a busy moment of the machine hits both.
+    // The two alternate, so that other load on the machine affects both.
     for round in 1..=2 {
-        asked.target = direct;
-        show(
+        plan.target = direct;
+        print_report(
             &format!("{name}, direct, round {round}"),
-            &load(asked.clone()).await,
+            &run_load(plan.clone()).await,
         );
-        asked.target = routed;
-        show(
+        plan.target = routed;
+        print_report(
             &format!("{name}, through the router, round {round}"),
-            &load(asked.clone()).await,
+            &run_load(plan.clone()).await,
         );
     }
 }
 
-fn one_box() -> BenchPlan {
+fn one_hall_plan() -> BenchPlan {
     BenchPlan {
         halls: vec![("ikeja", 2)],
         models: 1,
@@ -81,88 +93,87 @@
     }
 }
 
-async fn router_speed() {
-    let bench = Bench::start(one_box()).await;
+async fn measure_router_speed() {
+    let bench = Bench::start(one_hall_plan()).await;
     let (service, model) = (
         bench.direct("ikeja-reader-1"),
         bench.direct("ikeja-model-1"),
     );
-    // The proxy stands in neither way: the list names the stand-ins' own addresses.
+    // Neither path goes through the proxy: the upstream list has the stand-ins' own addresses.
     bench
         .list_direct("ikeja-reader-1", "ikeja-model-1", "ikeja")
         .await;
-    let fast = Behaviour {
+    let without_delay = Behaviour {
         first_token_ms: 0,
         token_ms: 0,
         ..Behaviour::default()
     };
-    bench.models[0].stand_in.set("small/s1", fast);
-    let read = plan(service, "/reader-api/manifest", None, 2000.0, 5);
-    compare("plain reads, 2,000 a second", &bench, service, read).await;
+    bench.models[0].stand_in.set("small/s1", without_delay);
+    let read = load_plan(service, "/reader-api/manifest", None, 2000.0, 5);
+    compare_direct_and_routed("plain reads, 2,000/s", &bench, service, read).await;
     let path = "/v1/chat/completions";
-    let whole = plan(model, path, Some(question("small/s1")), 500.0, 5);
-    compare("whole answers, 500 a second", &bench, model, whole).await;
-    let slow = Behaviour {
+    let whole = load_plan(model, path, Some(question("small/s1")), 500.0, 5);
+    compare_direct_and_routed("whole responses, 500/s", &bench, model, whole).await;
+    let with_delay = Behaviour {
         first_token_ms: 20,
         token_ms: 20,
         tokens: 50,
         ..Behaviour::default()
     };
-    bench.models[0].stand_in.set("small/s1", slow);
-    let streamed = plan(model, path, Some(streamed_question("small/s1")), 100.0, 5);
-    compare(
-        "streams of 50 tokens, 100 a second",
-        &bench,
-        model,
-        streamed,
-    )
-    .await;
-    let mut most = plan(
+    bench.models[0].stand_in.set("small/s1", with_delay);
+    let streamed = load_plan(model, path, Some(streamed_question("small/s1")), 100.0, 5);
+    compare_direct_and_routed("streams of 50 tokens, 100/s", &bench, model, streamed).await;
+    let mut high_rate = load_plan(
         bench.boxes["ikeja-1"].files.router,
         "/reader-api/manifest",
         None,
         10_000.0,
         5,
     );
-    most.threads = 3;
-    show(
-        "plain reads, 10,000 a second through the router",
-        &load(most).await,
+    high_rate.threads = 3;
+    print_report(
+        "plain reads through the router, 10,000/s",
+        &run_load(high_rate).await,
     );
 }
 
-async fn router_memory() {
-    let mut bench = Bench::start(one_box()).await;
-    let long = Behaviour {
+async fn measure_router_memory() {
+    let mut bench = Bench::start(one_hall_plan()).await;
+    let long_stream = Behaviour {
         tokens: 600,
         token_ms: 50,
         ..Behaviour::default()
     };
-    bench.models[0].stand_in.set("small/s1", long);
-    let streams = if is_full() { 2000 } else { 20 };
-    let before = bench.router("ikeja-1").resident_kilobytes();
-    let mut open = Vec::new();
+    bench.models[0].stand_in.set("small/s1", long_stream);
+    let streams = if is_full_run() { 2000 } else { 20 };
+    let before_kb = bench.router("ikeja-1").resident_kilobytes();
+    let mut open_streams = Vec::new();
     for _ in 0..streams {
         let request = bench.request("ikeja-1", "comics", "POST", "/v1/chat/completions");
-        open.push(
+        open_streams.push(
             request
                 .send_json(&streamed_question("small/s1"))
                 .await
                 .unwrap(),
         );
     }
-    let after = bench.router("ikeja-1").resident_kilobytes();
-    println!("router with {streams} open streams: {after} KB, {before} KB before");
-    drop(open);
+    let after_kb = bench.router("ikeja-1").resident_kilobytes();
+    println!("router with {streams} open streams: {after_kb} KB, {before_kb} KB before");
+    drop(open_streams);
 }
 
-/// Runs many claims, a few at a time, and prints how long each took.
-async fn claims_in(name: &str, count: usize, at_a_time: usize, claim: impl AsyncFn(usize) -> bool) {
+/// Makes `count` claims, `concurrency` at a time, and prints their latency and throughput.
+async fn measure_claims(
+    name: &str,
+    count: usize,
+    concurrency: usize,
+    claim: impl AsyncFn(usize) -> bool,
+) {
     let histogram = RefCell::new(Histogram::<u64>::new(3).unwrap());
     let next = Cell::new(0);
     let refused = Cell::new(0);
-    let began = Instant::now();
-    let workers = (0..at_a_time).map(|_| async {
+    let started_at = Instant::now();
+    let workers = (0..concurrency).map(|_| async {
         while next.get() < count {
             let number = next.replace(next.get() + 1);
             let began = Instant::now();
@@ -178,19 +189,20 @@
     futures::future::join_all(workers).await;
     let histogram = histogram.into_inner();
     println!(
-        "{name}: {count} claims, {} refused, p50 {:.2} ms, p99 {:.2} ms, {:.0} a second",
+        "{name}: {count} claims, {} refused, p50 {:.2} ms, p99 {:.2} ms, {:.0}/s",
         refused.get(),
         histogram.value_at_quantile(0.5) as f64 / 1000.0,
         histogram.value_at_quantile(0.99) as f64 / 1000.0,
-        count as f64 / began.elapsed().as_secs_f64(),
+        count as f64 / started_at.elapsed().as_secs_f64(),
     );
 }
 
-/// A shard that collects claims while a write is under way and writes them together.
+/// The alternative of group commit: a shard collects claims while a write is in progress and
+/// writes them together.
 struct GroupCommit {
     store: EtcdStore,
     waiting: RefCell<Vec<tokio::sync::oneshot::Sender<bool>>>,
-    number: Cell<usize>,
+    writes: Cell<usize>,
 }
 
 impl GroupCommit {
@@ -207,7 +219,7 @@
                 tokio::task::yield_now().await;
                 continue;
             }
-            let number = self.number.replace(self.number.get() + 1);
+            let number = self.writes.replace(self.writes.get() + 1);
             let key = format!("group/{number}");
             let written = self
                 .store
@@ -215,35 +227,41 @@
                 .await
                 .is_ok();
             for tx in waiting {
-                // A claimer that left needs no word.
+                // The claimer may have stopped waiting.
                 let _ = tx.send(written);
             }
         }
     }
 }
 
-async fn three_ways_to_claim() {
-    const AT_A_TIME: usize = 16;
-    let bench = Bench::start(one_box()).await;
+async fn measure_claim_strategies() {
+    const CONCURRENT_CLAIMS: usize = 16;
+    let bench = Bench::start(one_hall_plan()).await;
     bench
         .list_direct("ikeja-reader-1", "ikeja-model-1", "ikeja")
         .await;
-    let count = if is_full() { 4000 } else { 64 };
-    let slow = StoreFaults {
+    let count = if is_full_run() { 4000 } else { 64 };
+    let slow_store = StoreFaults {
         delay_ms: STORE_DELAY_MS,
         ..StoreFaults::default()
     };
     for (label, faults) in [
-        ("store answers in 3 ms", slow),
-        ("store away", StoreFaults { down: true, ..slow }),
+        ("store responds in 3 ms", slow_store),
+        (
+            "store unreachable",
+            StoreFaults {
+                down: true,
+                ..slow_store
+            },
+        ),
     ] {
         bench.set_store(faults);
         println!("--- {label}");
         let store = EtcdStore::new(bench.store_address());
-        claims_in(
-            &format!("{label}: a store write a claim"),
+        measure_claims(
+            &format!("{label}: one store write per claim"),
             count,
-            AT_A_TIME,
+            CONCURRENT_CLAIMS,
             async |number| {
                 let key = format!("claim/{label}/{number}");
                 store
@@ -256,33 +274,33 @@
         let group = Rc::new(GroupCommit {
             store: EtcdStore::new(bench.store_address()),
             waiting: RefCell::default(),
-            number: Cell::new(0),
+            writes: Cell::new(0),
         });
         let committer = actix_rt::spawn(group.clone().run());
-        claims_in(
-            &format!("{label}: group commit by shard"),
+        measure_claims(
+            &format!("{label}: group commit per shard"),
             count,
-            AT_A_TIME,
+            CONCURRENT_CLAIMS,
             async |_| group.claim().await,
         )
         .await;
-        println!("  of which {} store writes", group.number.get());
+        println!("  of which {} store writes", group.writes.get());
         committer.abort();
         let agent = bench.agent_client("ikeja-1");
-        claims_in(
+        measure_claims(
             &format!("{label}: owner and witness"),
             count,
-            AT_A_TIME,
+            CONCURRENT_CLAIMS,
             async |number| bench.claim_by(&agent, &format!("{label}-{number}")).await,
         )
         .await;
     }
-    bench.set_store(slow);
-    let claimed = AT_A_TIME / 4;
-    claims_in(
+    bench.set_store(slow_store);
+    let concurrent_requests = CONCURRENT_CLAIMS / 4;
+    measure_claims(
         "bookmarks through the router, claimed",
         count / 2,
-        claimed,
+        concurrent_requests,
         async |number| {
             bench
                 .bookmark("ikeja-1", &format!("measured-{number}"))
@@ -292,10 +310,10 @@
         },
     )
     .await;
-    claims_in(
+    measure_claims(
         "reads through the router, not claimed",
         count / 2,
-        claimed,
+        concurrent_requests,
         async |_| {
             let request = bench.request("ikeja-1", "comics", "GET", "/reader-api/manifest");
             common::read_answer(request.send().await).await.status == 200
@@ -304,11 +322,11 @@
     .await;
 }
 
-/// What an agent costs at one size of the fleet.
-async fn agents_at(halls: usize, boxes: usize) {
-    const NAMES: [&str; 4] = ["ikeja", "lekki", "yaba", "apapa"];
+/// Measures the cost of an agent in a fleet of the given size.
+async fn measure_agents(halls: usize, boxes: usize) {
+    const HALL_NAMES: [&str; 4] = ["ikeja", "lekki", "yaba", "apapa"];
     let plan = BenchPlan {
-        halls: NAMES[..halls]
+        halls: HALL_NAMES[..halls]
             .iter()
             .map(|hall| (*hall, boxes / halls))
             .collect(),
@@ -321,8 +339,8 @@
     let names: Vec<String> = bench.boxes.keys().cloned().collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     bench.wait_generation(&names, 2).await;
-    actix_rt::time::sleep(seconds(8)).await;
-    let sums = async |bench: &mut Bench| {
+    actix_rt::time::sleep(full_or_short_duration(8)).await;
+    let read_totals = async |bench: &mut Bench| {
         let statuses = bench.statuses().await;
         let sum = |path: &str| {
             statuses
@@ -348,44 +366,44 @@
             memory,
         )
     };
-    let before = sums(&mut bench).await;
-    let began = Instant::now();
-    actix_rt::time::sleep(seconds(10)).await;
-    let after = sums(&mut bench).await;
-    let took = began.elapsed().as_secs_f64();
+    let before = read_totals(&mut bench).await;
+    let measured_from = Instant::now();
+    actix_rt::time::sleep(full_or_short_duration(10)).await;
+    let after = read_totals(&mut bench).await;
+    let elapsed_s = measured_from.elapsed().as_secs_f64();
     let count = names.len() as f64;
-    let began = Instant::now();
+    let changed_at = Instant::now();
     bench.operate_ok(0, &["withdraw", "small/s2"]).await;
     bench.wait_generation(&names, 3).await;
-    let in_force = began.elapsed();
+    let time_until_in_force = changed_at.elapsed();
     println!(
-        "{:>3} agents in {halls} halls: {:>5.0} B/s sent each, {:.2} % of a core each, {} KB at the most, \
-         store {:.2} reads/s {:.2} writes/s {:.2} watches/s in all, change in force on all after {:.2} s",
+        "{:>3} agents in {halls} halls: {:>5.0} B/s sent each, {:.2} % of a core each, at most {} KB each, \
+         store {:.2} reads/s {:.2} writes/s {:.2} watches/s in total, change in force on all after {:.2} s",
         names.len(),
-        (after.0 - before.0) as f64 / took / count,
-        (after.4 - before.4) / took / count * 100.0,
+        (after.0 - before.0) as f64 / elapsed_s / count,
+        (after.4 - before.4) / elapsed_s / count * 100.0,
         after.5,
-        (after.1 - before.1) as f64 / took,
-        (after.2 - before.2) as f64 / took,
-        (after.3 - before.3) as f64 / took,
-        in_force.as_secs_f64(),
+        (after.1 - before.1) as f64 / elapsed_s,
+        (after.2 - before.2) as f64 / elapsed_s,
+        (after.3 - before.3) as f64 / elapsed_s,
+        time_until_in_force.as_secs_f64(),
     );
 }
 
-async fn agent_slopes() {
-    let sizes: &[(usize, usize)] = if is_full() {
+async fn measure_agent_cost() {
+    let sizes: &[(usize, usize)] = if is_full_run() {
         &[(2, 8), (2, 16), (2, 32), (4, 32), (4, 64)]
     } else {
         &[(2, 4)]
     };
     for (halls, boxes) in sizes {
-        agents_at(*halls, *boxes).await;
+        measure_agents(*halls, *boxes).await;
     }
 }
 
 cases! {
-    speed_of_the_router => router_speed();
-    memory_of_the_router => router_memory();
-    claims_three_ways => three_ways_to_claim();
-    slopes_of_the_agents => agent_slopes();
+    router_latency_and_throughput => measure_router_speed();
+    router_memory_with_open_streams => measure_router_memory();
+    claim_strategies => measure_claim_strategies();
+    agent_cost_by_fleet_size => measure_agent_cost();
 }
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,4 +1,5 @@
-//! Settings, bundles and the command line tell all faults with their places.
+//! The operators' command line, and the errors in bundles and settings, which are reported with
+//! their locations.
 
 mod common;
 
@@ -14,7 +15,7 @@
         .unwrap()
 }
 
-fn check(text: &str) -> (Option<i32>, String) {
+fn check_bundle(text: &str) -> (Option<i32>, String) {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("bundle.toml");
     std::fs::write(&file, text).unwrap();
@@ -23,57 +24,57 @@
     (output.status.code(), stderr)
 }
 
-macro_rules! faulty_bundles {
-    ($($name:ident: $from:expr => $to:expr, $place:expr, $message:expr;)+) => {
+macro_rules! invalid_bundles {
+    ($($name:ident: $from:expr => $to:expr, $line:expr, $message:expr;)+) => {
         $(
             #[googletest::test]
             fn $name() {
                 let text = BUNDLE.replacen($from, $to, 1);
-                assert_ne!(text, BUNDLE, "the case changes nothing");
-                let (code, stderr) = check(&text);
+                assert_ne!(text, BUNDLE, "the replacement does not change the bundle");
+                let (code, stderr) = check_bundle(&text);
                 expect_that!(code, some(eq(2)));
                 expect_that!(stderr, contains_substring($message));
-                expect_that!(stderr, contains_substring(concat!("bundle.toml:", $place, ":")));
+                expect_that!(stderr, contains_substring(concat!("bundle.toml:", $line, ":")));
             }
         )+
     };
 }
 
-faulty_bundles! {
+invalid_bundles! {
     unknown_key: "cost_micros = 5" => "cost_micro = 5", "41", "unknown key `cost_micro`";
     unknown_incumbent: "incumbent = \"l1\"" => "incumbent = \"l9\"", "11", "no version `l9`";
-    cascade_of_an_unknown_model: "[\"small\", \"large\"]" => "[\"small\", \"huge\"]", "16", "`huge`";
-    unknown_allowed_version: "\"small/s2\", " => "\"small/s9\", ", "28", "no version `small/s9`";
-    cascade_that_steps_to_a_forbidden_model:
+    unknown_model_in_a_cascade: "[\"small\", \"large\"]" => "[\"small\", \"huge\"]", "16", "`huge`";
+    unknown_version_in_an_allow_list: "\"small/s2\", " => "\"small/s9\", ", "28", "no version `small/s9`";
+    cascade_with_a_model_that_is_not_allowed:
         "allow = [\"small/s1\"]" => "allow = [\"small/s1\"]\ncascades = [\"recap\"]",
         "35", "cascade `recap` steps to `large`";
-    shares_above_the_whole: "share = 0.3" => "share = 0.6", "35", "more than the whole";
-    dates_the_wrong_way_round:
+    shares_that_sum_to_more_than_one: "share = 0.3" => "share = 0.6", "35", "more than the whole";
+    version_that_leaves_before_it_enters:
         "{ name = \"l1\", cost_micros = 1000 }" =>
         "{ name = \"l1\", cost_micros = 1000, enters = \"2026-12-02T00:00:00Z\", leaves = \"2026-12-01T00:00:00Z\" }",
         "12", "before it enters";
-    text_that_is_no_toml: "partner = " => "partner is ", "2", "expected";
+    invalid_toml: "partner = " => "partner is ", "2", "expected";
 }
 
 #[googletest::test]
-fn all_faults_are_reported_together() {
+fn all_errors_are_reported_together() {
     let text = BUNDLE
         .replacen("incumbent = \"l1\"", "incumbent = \"l9\"", 1)
         .replacen("share = 0.3", "share = 7", 1)
         .replacen("cost_micros = 5", "cost_micros = \"five\"", 1);
-    let (code, stderr) = check(&text);
+    let (code, stderr) = check_bundle(&text);
     expect_that!(code, some(eq(2)));
     expect_that!(stderr.lines().count(), eq(3), "{stderr}");
 }
 
 #[googletest::test]
-fn faultless_bundle_passes() {
-    let (code, stderr) = check(BUNDLE);
+fn valid_bundle_passes() {
+    let (code, stderr) = check_bundle(BUNDLE);
     expect_that!(code, some(eq(0)), "{stderr}");
 }
 
 #[googletest::test]
-fn usage_faults_end_with_two() {
+fn usage_errors_exit_with_code_2() {
     for args in [
         &["roll", "small"][..],
         &["bogus"],
@@ -93,7 +94,7 @@
 }
 
 #[googletest::test]
-fn example_settings_and_bundles_are_faultless() {
+fn example_settings_and_bundles_are_valid() {
     for partner in ["panelwave", "tsion"] {
         let file = Path::new("examples").join(partner).join("bundle.toml");
         let output = gatepier(&["check", file.to_str().unwrap()]);
@@ -116,14 +117,14 @@
 }
 
 cases! {
-    daemon_reports_all_faults_of_its_settings => async {
+    daemon_reports_all_errors_in_its_settings => async {
         let bench = Bench::start_without_bundle(BenchPlan::default()).await;
-        let good = std::fs::read_to_string(&bench.boxes["ikeja-1"].files.router_settings).unwrap();
-        let bad = good
+        let valid = std::fs::read_to_string(&bench.boxes["ikeja-1"].files.router_settings).unwrap();
+        let invalid = valid
             .replacen("hall = \"ikeja\"", "hall = \"nowhere\"", 1)
             .replacen("listen = ", "listens = ", 1);
         let file = bench.fleet.folder.join("bad.toml");
-        std::fs::write(&file, bad).unwrap();
+        std::fs::write(&file, invalid).unwrap();
         let output = Command::new(env!("CARGO_BIN_EXE_gatepier-router"))
             .arg("--check-settings")
             .arg(&file)
@@ -136,7 +137,7 @@
         expect_that!(stderr, contains_substring("unknown key `listens`"));
     };
 
-    operator_can_do_all_steps_and_see_them => async {
+    operators_can_roll_and_withdraw_and_see_both_in_the_reports => async {
         let bench = Bench::start(BenchPlan::default()).await;
         bench.operate_ok(0, &["roll", "small/s2", "25"]).await;
         bench.operate_ok(1, &["withdraw", "small/s2"]).await;
