--- a/src/http_server.rs
+++ b/src/http_server.rs
@@ -1,7 +1,7 @@
-//! The callers' side of a server: takes connections, counts them and drains them at a stop.
+//! HTTP server for callers: accepts connections, tracks them and drains them on graceful shutdown.
 //!
-//! A stopping server may cut no request. It can only keep to that if it knows of every
-//! connection from the moment it is taken, so connections are counted here and not by whoever
+//! A stopping server must not cut any request, so it has to know of every connection from the
+//! moment that it is accepted. Connections are therefore tracked here, and not by the code that
 //! serves them. See `docs/design/stopping.md`.
 
 pub mod accept;
@@ -11,7 +11,7 @@
 pub mod lent_stream;
 
 use crate::error::{Error, Result};
-use accept::{Leaving, Taken, accept_until};
+use accept::{ListenerRelease, Taken, accept_until_stopped};
 use actix_http::{ConnectionType, Response};
 use std::net::TcpListener;
 use std::time::Duration;
@@ -22,43 +22,43 @@
 use tokio_util::task::TaskTracker;
 use tokio_util::task::task_tracker::TaskTrackerToken;
 
-/// How long a server that stops leaves connections open on which nothing is under way. Callers
-/// that use theirs at least this often leave by an answer and never meet a closed connection.
-const RESTING_PATIENCE: Duration = Duration::from_secs(10);
+/// How long a draining server keeps idle connections open. Callers that send requests at least this
+/// often receive `Connection: close` in a response and never find their connection closed.
+const IDLE_GRACE: Duration = Duration::from_secs(10);
 
-/// A server of callers in a stage of its life: [`Accepting`], [`Announced`], [`Draining`].
+/// HTTP server in one of its stages: [`Accepting`], [`ShutdownAnnounced`] or [`Draining`].
 #[derive(Debug)]
 pub struct HttpServer<S> {
     connections: Connections,
     stage: S,
 }
 
-/// The server takes connections.
+/// The server accepts connections.
 #[derive(Debug)]
 pub struct Accepting {
     task: JoinHandle<()>,
-    stop: oneshot::Sender<Leaving>,
+    stop: oneshot::Sender<ListenerRelease>,
 }
 
-/// The server still takes connections, and asks callers to leave with each answer.
+/// The server still accepts connections, and asks callers to close theirs with each response.
 #[derive(Debug)]
-pub struct Announced(Accepting);
+pub struct ShutdownAnnounced(Accepting);
 
-/// The server takes no connection any more and finishes those that it has.
+/// The server accepts no more connections and finishes the open ones.
 #[derive(Debug)]
 pub struct Draining;
 
-/// The open connections of a server, and what they are told of its stop.
+/// Open connections of a server, and the shutdown signals that they receive.
 #[derive(Debug, Clone, Default)]
 pub struct Connections {
     open: TaskTracker,
-    announced: CancellationToken,
+    shutdown_announced: CancellationToken,
     closing: CancellationToken,
 }
 
 impl Connections {
     /// Counts a connection as open until the token is dropped.
-    pub fn count_in(&self) -> TaskTrackerToken {
+    pub fn track(&self) -> TaskTrackerToken {
         self.open.token()
     }
 
@@ -67,44 +67,46 @@
         self.open.len()
     }
 
-    /// Asks a caller to leave with this answer, if the server is about to stop, and tells whether
-    /// it did.
+    /// Adds `Connection: close` to a response if the shutdown has been announced, and returns
+    /// whether it did.
     pub fn ask_to_leave<B>(&self, response: &mut Response<B>) -> bool {
-        let is_announced = self.announced.is_cancelled();
-        if is_announced {
+        let is_stopping = self.shutdown_announced.is_cancelled();
+        if is_stopping {
             let head = response.head_mut();
             head.set_connection_type(ConnectionType::Close);
         }
-        is_announced
+        is_stopping
     }
 
-    /// Waits for the moment from which callers should leave.
-    pub async fn announced(&self) {
-        self.announced.cancelled().await;
+    /// Waits until the shutdown is announced, from when on callers are asked to close their
+    /// connections.
+    pub async fn shutdown_announced(&self) {
+        self.shutdown_announced.cancelled().await;
     }
 
-    /// Tells whether connections end as soon as nothing is under way on them.
+    /// Returns whether connections are closed as soon as they are idle.
     pub fn is_closing(&self) -> bool {
         self.closing.is_cancelled()
     }
 
-    /// Waits for the moment from which a connection ends as soon as nothing is under way on it.
+    /// Waits until connections are to be closed as soon as they are idle.
     pub fn closing(&self) -> impl Future<Output = ()> + use<> {
         self.closing.clone().cancelled_owned()
     }
 }
 
 impl HttpServer<Accepting> {
-    /// Takes connections in the background and hands each to `take`.
+    /// Accepts connections in a background task and passes each to `on_accept`.
     pub fn start(
         listener: TcpListener,
         connections: Connections,
-        take: impl FnMut(Taken) + 'static,
+        on_accept: impl FnMut(Taken) + 'static,
     ) -> Result<Self> {
         let listener = tokio::net::TcpListener::from_std(listener)
             .map_err(|err| Error::Unreachable(format!("cannot serve callers: {err}")))?;
-        let (stop, stopped) = oneshot::channel();
-        let accepting = accept_until(listener, stopped, connections.clone(), take);
+        let (stop, stop_receiver) = oneshot::channel();
+        let accepting =
+            accept_until_stopped(listener, stop_receiver, connections.clone(), on_accept);
         let task = actix_rt::spawn(accepting);
         Ok(Self {
             connections,
@@ -112,30 +114,32 @@
         })
     }
 
-    /// Asks callers to leave from now on.
-    pub fn announce(self) -> HttpServer<Announced> {
-        self.connections.announced.cancel();
+    /// Asks callers from now on to close their connections.
+    pub fn announce(self) -> HttpServer<ShutdownAnnounced> {
+        self.connections.shutdown_announced.cancel();
         HttpServer {
             connections: self.connections,
-            stage: Announced(self.stage),
+            stage: ShutdownAnnounced(self.stage),
         }
     }
 }
 
-impl HttpServer<Announced> {
-    /// Leaves the callers' address, after the connections that wait there have been taken.
+impl HttpServer<ShutdownAnnounced> {
+    /// Closes a listening socket that no other process holds, after accepting the connections that
+    /// are queued on it.
     pub async fn stop_accepting(self) -> HttpServer<Draining> {
-        self.leave(Leaving::Alone).await
+        self.leave(ListenerRelease::Alone).await
     }
 
-    /// Leaves the callers' socket, in the way that suits who else may have it.
-    pub async fn leave(self, leaving: Leaving) -> HttpServer<Draining> {
-        let Announced(Accepting { task, stop }) = self.stage;
-        if stop.send(leaving).is_err() {
-            log::error!("invariant: connections were not taken any more before the stop");
+    /// Stops accepting and closes the listening socket, depending on which other processes may hold
+    /// it.
+    pub async fn leave(self, release: ListenerRelease) -> HttpServer<Draining> {
+        let ShutdownAnnounced(Accepting { task, stop }) = self.stage;
+        if stop.send(release).is_err() {
+            log::error!("invariant: the accept task ended before the server was stopped");
         }
         if let Err(err) = task.await {
-            log::error!("connections that waited to be taken are lost: {err}");
+            log::error!("the accept task failed, connections in the accept queue are lost: {err}");
         }
         HttpServer {
             connections: self.connections,
@@ -145,25 +149,25 @@
 }
 
 impl HttpServer<Draining> {
-    /// Waits until every connection has ended, and returns how many have not after `limit`.
+    /// Waits until all connections are closed, and returns how many are still open after `limit`.
     ///
-    /// A connection that rests is left open for a while first: a request may be on its way.
+    /// Idle connections stay open for a while first, since a request may be on its way.
     pub async fn finish(self, limit: Duration) -> usize {
         let Connections { open, closing, .. } = &self.connections;
-        let resting = RESTING_PATIENCE.min(limit / 2);
-        if wait_until_ended(open, resting).await == 0 {
+        let idle_grace = IDLE_GRACE.min(limit / 2);
+        if wait_until_ended(open, idle_grace).await == 0 {
             return 0;
         }
         closing.cancel();
-        wait_until_ended(open, limit - resting).await
+        wait_until_ended(open, limit - idle_grace).await
     }
 }
 
-/// Waits until all that is counted has ended, and returns how much has not after `limit`.
-pub async fn wait_until_ended(counted: &TaskTracker, limit: Duration) -> usize {
-    counted.close();
-    match timeout(limit, counted.wait()).await {
+/// Waits until everything tracked has ended, and returns how much is left after `limit`.
+pub async fn wait_until_ended(tracker: &TaskTracker, limit: Duration) -> usize {
+    tracker.close();
+    match timeout(limit, tracker.wait()).await {
         Ok(()) => 0,
-        Err(_elapsed) => counted.len(),
+        Err(_elapsed) => tracker.len(),
     }
 }
--- a/src/http_server/accept.rs
+++ b/src/http_server/accept.rs
@@ -1,4 +1,4 @@
-//! Takes connections from a listening socket until it is told to stop.
+//! Accepts connections on a listening socket until stopped.
 
 use super::Connections;
 use socket2::{SockFilter, SockRef};
@@ -9,109 +9,114 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::task::task_tracker::TaskTrackerToken;
 
-/// The pause after a failed accept, such as for want of descriptors.
-pub(super) const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept, such as when the process has run out of file descriptors.
+pub(super) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// How long those that have begun to connect may take to be through when a listener is left: a few
-/// times the way to a caller and back. Whoever begins meanwhile is held up by a second.
-const CONNECTING: Duration = Duration::from_millis(10);
+/// How long TCP handshakes that have begun may take to complete before the listener is closed: a
+/// few round trips to a caller. Callers that begin to connect meanwhile are delayed by a second.
+const HANDSHAKE_GRACE: Duration = Duration::from_millis(10);
 
-/// Who else takes connections from a listening socket that is left.
+/// Which other processes hold a listening socket that this process closes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Leaving {
-    /// A successor has the same socket and takes what waits there.
+pub enum ListenerRelease {
+    /// A successor holds the same socket and accepts the queued connections.
     ToSuccessor,
-    /// No other process ever had the same socket; others may listen on the address by sockets of their own.
+    /// No other process has ever held this socket. Others may listen on the same address with
+    /// sockets of their own.
     Alone,
-    /// Others had the same socket, and may have it still.
+    /// Other processes have held the same socket, and may still do so.
     Uncertain,
 }
 
-/// A connection that was taken and counts as open until it is dropped.
+/// An accepted connection, which counts as open until `open` is dropped.
 #[derive(Debug)]
 pub struct Taken {
     /// The connection.
     pub stream: TcpStream,
     /// The caller's address.
     pub peer: SocketAddr,
-    /// Counts the connection.
+    /// Token that counts the connection as open.
     pub open: TaskTrackerToken,
 }
 
-/// Hands each connection to `take` until the process ends.
-pub async fn accept(listener: &TcpListener, mut take: impl FnMut(TcpStream, SocketAddr)) {
+/// Passes each connection to `on_accept` until the process ends.
+pub async fn accept(listener: &TcpListener, mut on_accept: impl FnMut(TcpStream, SocketAddr)) {
     loop {
         match listener.accept().await {
-            Ok((stream, peer)) => take(stream, peer),
+            Ok((stream, peer)) => on_accept(stream, peer),
             Err(err) => {
-                log::warn!("a connection cannot be accepted: {err}");
-                sleep(ACCEPT_PAUSE).await;
+                log::warn!("failed to accept a connection: {err}");
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Hands each connection to `take` until `stop`, and then those that wait, unless a successor takes
-/// them.
-pub async fn accept_until(
+/// Passes each connection to `on_accept` until `stop`, and then the queued ones, unless a successor
+/// accepts those.
+pub async fn accept_until_stopped(
     listener: TcpListener,
-    stop: oneshot::Receiver<Leaving>,
+    stop: oneshot::Receiver<ListenerRelease>,
     connections: Connections,
-    mut take: impl FnMut(Taken),
+    mut on_accept: impl FnMut(Taken),
 ) {
-    let mut take = |stream, peer| {
-        take(Taken {
+    let mut on_accept = |stream, peer| {
+        on_accept(Taken {
             stream,
             peer,
-            open: connections.count_in(),
+            open: connections.track(),
         });
     };
-    let leaving = tokio::select! {
-        () = accept(&listener, &mut take) => return,
-        Ok(leaving) = stop => leaving,
+    let release = tokio::select! {
+        () = accept(&listener, &mut on_accept) => return,
+        Ok(release) = stop => release,
     };
-    match leaving {
-        Leaving::ToSuccessor => return,
-        Leaving::Alone => take_newcomers(&listener, &mut take).await,
-        // What is set on the socket would hold for those who may still have it.
-        Leaving::Uncertain => {}
+    match release {
+        ListenerRelease::ToSuccessor => return,
+        ListenerRelease::Alone => accept_pending_handshakes(&listener, &mut on_accept).await,
+        // A filter on the socket would also apply to processes that may still hold it.
+        ListenerRelease::Uncertain => {}
     }
-    if let Err(err) = take_waiting(listener, take) {
-        log::warn!("connections that waited to be taken are lost: {err}");
+    if let Err(err) = accept_queued(listener, on_accept) {
+        log::warn!("connections in the accept queue are lost: {err}");
     }
 }
 
-/// Leaves the queue of a listener empty, and lets nothing more come into it.
-async fn take_newcomers(listener: &TcpListener, take: impl FnMut(TcpStream, SocketAddr)) {
-    if let Err(err) = pass_over_newcomers(listener) {
-        log::warn!("callers that connect now may be reset: {err}");
+/// Drops packets of new connections, and accepts those whose handshake has begun, so that nothing
+/// enters the accept queue any more.
+async fn accept_pending_handshakes(
+    listener: &TcpListener,
+    on_accept: impl FnMut(TcpStream, SocketAddr),
+) {
+    if let Err(err) = drop_new_syns(listener) {
+        log::warn!("cannot filter new connections, callers that connect now may be reset: {err}");
     }
-    // Those that had begun to connect are through by then, and are taken.
-    let _waited = timeout(CONNECTING, accept(listener, take)).await;
+    // Handshakes that had begun are complete after this time, and their connections accepted.
+    let _waited = timeout(HANDSHAKE_GRACE, accept(listener, on_accept)).await;
 }
 
-/// Makes the system drop the first packet of every new connection to a listener.
+/// Makes the kernel drop the first packet (SYN) of every new connection to a listener.
 ///
-/// The system resets what is still queued when a listener is closed, and a caller that was reset
-/// cannot tell whether its request ran. One whose first packet is dropped sends it again a second
-/// later, and reaches whoever listens there by then.
-fn pass_over_newcomers(listener: &TcpListener) -> std::io::Result<()> {
-    SockRef::from(listener).attach_filter(&DROP_FIRST_PACKETS)
+/// The kernel resets connections that are still queued when a listener is closed, and a caller
+/// whose connection was reset cannot tell whether its request ran. A caller whose SYN is dropped
+/// sends it again after a second, and reaches the process that listens by then.
+fn drop_new_syns(listener: &TcpListener) -> std::io::Result<()> {
+    SockRef::from(listener).attach_filter(&DROP_SYN_FILTER)
 }
 
-/// A filter of classic BPF over a TCP segment: drops what carries SYN without ACK.
-const DROP_FIRST_PACKETS: [SockFilter; 5] = {
+/// Classic BPF filter over a TCP segment: drops segments with SYN but without ACK.
+const DROP_SYN_FILTER: [SockFilter; 5] = {
     const LOAD_BYTE: u16 = (libc::BPF_LD | libc::BPF_B | libc::BPF_ABS) as u16;
     const AND: u16 = (libc::BPF_ALU | libc::BPF_AND | libc::BPF_K) as u16;
     const JUMP_IF_EQUAL: u16 = (libc::BPF_JMP | libc::BPF_JEQ | libc::BPF_K) as u16;
     const RETURN: u16 = (libc::BPF_RET | libc::BPF_K) as u16;
-    const FLAGS_AT: u32 = 13;
+    const TCP_FLAGS_OFFSET_BYTES: u32 = 13;
     const SYN: u32 = 0x02;
     const ACK: u32 = 0x10;
     const DROP: u32 = 0;
     const KEEP: u32 = u32::MAX;
     [
-        SockFilter::new(LOAD_BYTE, 0, 0, FLAGS_AT),
+        SockFilter::new(LOAD_BYTE, 0, 0, TCP_FLAGS_OFFSET_BYTES),
         SockFilter::new(AND, 0, 0, SYN | ACK),
         SockFilter::new(JUMP_IF_EQUAL, 0, 1, SYN),
         SockFilter::new(RETURN, 0, 0, DROP),
@@ -119,17 +124,17 @@
     ]
 };
 
-/// Takes the connections that wait in the system's queue, and closes the listener.
-fn take_waiting(
+/// Accepts the connections in the kernel's accept queue, and closes the listener.
+fn accept_queued(
     listener: TcpListener,
-    mut take: impl FnMut(TcpStream, SocketAddr),
+    mut on_accept: impl FnMut(TcpStream, SocketAddr),
 ) -> std::io::Result<()> {
     let listener = listener.into_std()?;
     loop {
         match listener.accept() {
             Ok((stream, peer)) => {
                 stream.set_nonblocking(true)?;
-                take(TcpStream::from_std(stream)?, peer);
+                on_accept(TcpStream::from_std(stream)?, peer);
             }
             Err(err) if err.kind() == std::io::ErrorKind::WouldBlock => return Ok(()),
             Err(err) if err.kind() == std::io::ErrorKind::ConnectionAborted => {}
--- a/src/http_server/ending.rs
+++ b/src/http_server/ending.rs
@@ -1,4 +1,4 @@
-//! How a connection ends without leaving its caller in doubt.
+//! Closes connections in such a way that callers know what became of their requests.
 
 use super::Connections;
 use actix_http::Response;
@@ -9,41 +9,44 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long the caller may take to close its side. A connection that is closed before it has
-/// done so is reset by what is still on the way, and the caller loses what it has not read.
-const CLOSE_PATIENCE: Duration = Duration::from_secs(1);
+/// How long the caller may take to close its side. If a connection is closed earlier, bytes that
+/// are still on the way reset it, and the caller loses what it has not read yet.
+const PEER_CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Whether the caller of a connection was told that it ends.
+/// Whether a response on a connection has carried `Connection: close`.
 #[derive(Debug, Default)]
-pub struct Notice {
-    is_given: Cell<bool>,
+pub struct CloseHeader {
+    is_sent: Cell<bool>,
 }
 
-impl Notice {
-    /// Tells whether an answer has asked the caller to leave.
+impl CloseHeader {
+    /// Returns whether a response has asked the caller to close the connection.
     pub fn is_given(&self) -> bool {
-        self.is_given.get()
+        self.is_sent.get()
     }
 
-    /// Asks the caller to leave with this answer, if the server is about to stop.
+    /// Adds `Connection: close` to a response if the server is stopping.
     pub fn give<B>(&self, connections: &Connections, response: &mut Response<B>) {
         if connections.ask_to_leave(response) {
-            self.is_given.set(true);
+            self.is_sent.set(true);
         }
     }
 }
 
-/// Ends a connection on which nothing is under way any more.
+/// Closes an idle connection.
 ///
-/// A caller that was not told may have sent a request that nobody will read. `last_words` is an
-/// answer that says so; no request is read after it was written, which makes it true.
-pub async fn end_connection(mut stream: TcpStream, last_words: Option<&[u8]>) -> io::Result<()> {
-    if let Some(last_words) = last_words {
-        stream.write_all(last_words).await?;
+/// A caller that was not asked to close the connection may have sent a request that will not be
+/// read. `final_response` tells it so; this holds because no request is read once it is written.
+pub async fn end_connection(
+    mut stream: TcpStream,
+    final_response: Option<&[u8]>,
+) -> io::Result<()> {
+    if let Some(final_response) = final_response {
+        stream.write_all(final_response).await?;
     }
     stream.shutdown().await?;
-    let closing = timeout(CLOSE_PATIENCE, discard(&mut stream)).await;
-    // A caller that keeps its side open has had the time to read what it was told.
+    let closing = timeout(PEER_CLOSE_TIMEOUT, discard(&mut stream)).await;
+    // A caller that keeps its side open has had time to read the final response.
     closing.unwrap_or(Ok(()))
 }
 
--- a/src/http_server/h2.rs
+++ b/src/http_server/h2.rs
@@ -1,7 +1,7 @@
-//! Serves a caller over HTTP/2, and tells it to go when the server stops.
+//! Serves a caller over HTTP/2, and sends `GOAWAY` when the server stops.
 //!
-//! The HTTP library serves h2 as well, but cannot be made to send `GOAWAY`, so its callers would
-//! come back on the same connection until they are cut.
+//! The HTTP library serves HTTP/2 as well, but cannot be made to send `GOAWAY`, so its callers
+//! would reuse the connection until the server cuts it.
 
 use super::Connections;
 use crate::clock::Now;
@@ -21,8 +21,8 @@
 use std::rc::Rc;
 use tokio::net::TcpStream;
 
-/// Serves the requests of a connection, each as a task of its own, until the last one has its
-/// answer.
+/// Serves the requests of a connection, each in a task of its own, until the last one has been
+/// answered.
 pub async fn serve<A>(
     stream: TcpStream,
     peer: SocketAddr,
@@ -33,14 +33,15 @@
     A: Future<Output = Response<BoxBody>> + 'static,
 {
     let mut connection = h2::server::handshake(stream).await?;
-    let mut is_told = false;
+    let mut is_goaway_sent = false;
     loop {
         let accepted = tokio::select! {
             accepted = connection.accept() => accepted,
-            () = connections.announced(), if !is_told => {
-                // Requests that cross this are still served; the last `GOAWAY` names them.
+            () = connections.shutdown_announced(), if !is_goaway_sent => {
+                // Requests that cross the first `GOAWAY` are still served; the last `GOAWAY`
+                // carries the id of the last of them.
                 connection.graceful_shutdown();
-                is_told = true;
+                is_goaway_sent = true;
                 continue;
             }
         };
@@ -61,25 +62,26 @@
     A: Future<Output = Response<BoxBody>>,
 {
     let is_head = request.method() == http::Method::HEAD;
-    let sent = match read_request(request, peer) {
+    let result = match convert_request(request, peer) {
         Ok(request) => send(handler(request).await, respond, is_head).await,
         Err(err) => {
-            log::debug!("a request over h2 cannot be read: {err}");
-            refuse(respond)
+            log::debug!("an HTTP/2 request is invalid: {err}");
+            respond_bad_request(respond)
         }
     };
-    if let Err(err) = sent {
-        log::debug!("an answer over h2 was not taken: {err}");
+    if let Err(err) = result {
+        log::debug!("failed to send an HTTP/2 response: {err}");
     }
 }
 
-/// Makes the HTTP library's request, whose types are of another version of the same crate.
-fn read_request(
+/// Converts a request to the HTTP library's type, which comes from another version of the `http`
+/// crate.
+fn convert_request(
     request: http::Request<RecvStream>,
     peer: SocketAddr,
 ) -> Result<Request, actix_http::error::HttpError> {
     let (parts, body) = request.into_parts();
-    let payload: Pin<Box<dyn Stream<Item = _>>> = Box::pin(payload_of(body));
+    let payload: Pin<Box<dyn Stream<Item = _>>> = Box::pin(request_payload(body));
     let mut req = Request::with_payload(Payload::Stream { payload });
     let head = req.head_mut();
     head.version = Version::HTTP_2;
@@ -94,19 +96,19 @@
     Ok(req)
 }
 
-fn payload_of(body: RecvStream) -> impl Stream<Item = Result<Bytes, PayloadError>> {
+fn request_payload(body: RecvStream) -> impl Stream<Item = Result<Bytes, PayloadError>> {
     stream::unfold(body, |mut body| async {
-        let piece = body.data().await?;
-        let piece = piece.and_then(|piece| {
-            body.flow_control().release_capacity(piece.len())?;
-            Ok(piece)
+        let chunk = body.data().await?;
+        let chunk = chunk.and_then(|chunk| {
+            body.flow_control().release_capacity(chunk.len())?;
+            Ok(chunk)
         });
-        let piece = piece.map_err(|err| PayloadError::Io(io::Error::other(err)));
-        Some((piece, body))
+        let chunk = chunk.map_err(|err| PayloadError::Io(io::Error::other(err)));
+        Some((chunk, body))
     })
 }
 
-fn refuse(mut respond: SendResponse<Bytes>) -> Result<(), h2::Error> {
+fn respond_bad_request(mut respond: SendResponse<Bytes>) -> Result<(), h2::Error> {
     let mut response = http::Response::new(());
     *response.status_mut() = http::StatusCode::BAD_REQUEST;
     respond.send_response(response, true).map(drop)
@@ -117,17 +119,17 @@
     mut respond: SendResponse<Bytes>,
     is_head: bool,
 ) -> Result<(), h2::Error> {
-    let head = head_of(&response, Now::read());
+    let head = response_head(&response, Now::read());
     let body = response.into_body();
-    let is_whole = is_head || matches!(body.size(), BodySize::None | BodySize::Sized(0));
-    let mut stream = respond.send_response(head, is_whole)?;
-    match is_whole {
+    let is_bodyless = is_head || matches!(body.size(), BodySize::None | BodySize::Sized(0));
+    let mut stream = respond.send_response(head, is_bodyless)?;
+    match is_bodyless {
         true => Ok(()),
         false => send_body(body, &mut stream).await,
     }
 }
 
-fn head_of(response: &Response<BoxBody>, now: Now) -> http::Response<()> {
+fn response_head(response: &Response<BoxBody>, now: Now) -> http::Response<()> {
     let mut head = http::Response::new(());
     let status = http::StatusCode::from_u16(response.status().as_u16());
     *head.status_mut() = status.unwrap_or(http::StatusCode::INTERNAL_SERVER_ERROR);
@@ -139,8 +141,8 @@
             headers.append(name, value);
         }
     }
-    for of_one_connection in [CONNECTION, TRANSFER_ENCODING, UPGRADE] {
-        headers.remove(of_one_connection);
+    for hop_by_hop_header in [CONNECTION, TRANSFER_ENCODING, UPGRADE] {
+        headers.remove(hop_by_hop_header);
     }
     if let BodySize::Sized(length) = response.body().size() {
         headers.insert(CONTENT_LENGTH, length.into());
@@ -154,9 +156,9 @@
 async fn send_body(mut body: BoxBody, stream: &mut SendStream<Bytes>) -> Result<(), h2::Error> {
     loop {
         match poll_fn(|cx| Pin::new(&mut body).poll_next(cx)).await {
-            Some(Ok(piece)) => send_as_read(stream, piece).await?,
+            Some(Ok(chunk)) => send_with_flow_control(stream, chunk).await?,
             Some(Err(err)) => {
-                log::debug!("an answer over h2 breaks off: {err}");
+                log::debug!("an HTTP/2 response body failed: {err}");
                 stream.send_reset(Reason::INTERNAL_ERROR);
                 return Ok(());
             }
@@ -165,17 +167,17 @@
     }
 }
 
-/// Sends bytes only as fast as the other side reads them, so that what one that is frozen does
-/// not read waits with its sender and not without bounds in the connection.
-pub async fn send_as_read(
+/// Sends bytes only as fast as the peer reads them. If the peer is frozen, the sender waits, and
+/// the connection's send buffer does not grow without bounds.
+pub async fn send_with_flow_control(
     stream: &mut SendStream<Bytes>,
     mut bytes: Bytes,
 ) -> Result<(), h2::Error> {
     while !bytes.is_empty() {
         stream.reserve_capacity(bytes.len());
-        let granted = poll_fn(|cx| stream.poll_capacity(cx)).await;
-        let granted = granted.ok_or(Reason::CANCEL)??;
-        let part = bytes.split_to(granted.min(bytes.len()));
+        let capacity = poll_fn(|cx| stream.poll_capacity(cx)).await;
+        let capacity = capacity.ok_or(Reason::CANCEL)??;
+        let part = bytes.split_to(capacity.min(bytes.len()));
         stream.send_data(part, false)?;
     }
     Ok(())
--- a/src/http_server/handover.rs
+++ b/src/http_server/handover.rs
@@ -1,11 +1,11 @@
-//! Passes the callers' listening socket from a router to its successor.
+//! Handover of the callers' listening socket from a router to its successor.
 //!
-//! The system resets the connections that wait in the queue of a listening socket when its last
-//! holder closes it. A successor therefore takes over the socket itself, together with the one at
-//! which it was asked for, so that neither is closed as routers come and go. See "Leaving a shared
-//! address" in `docs/design/stopping.md`.
+//! The kernel resets the connections in the accept queue of a listening socket when the last
+//! process that holds the socket closes it. A successor therefore receives the socket itself,
+//! together with the Unix socket on which handovers are requested, so that neither is closed when
+//! routers are replaced. See "Leaving a shared address" in `docs/design/stopping.md`.
 
-use super::accept::{ACCEPT_PAUSE, Leaving};
+use super::accept::{ACCEPT_RETRY_DELAY, ListenerRelease};
 use crate::daemon::listen_shared;
 use crate::error::{Error, Result};
 use rustix::cmsg_space;
@@ -26,72 +26,79 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// How long a predecessor may take to pass its sockets on. One that is frozen does not answer.
-const TAKE_OVER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Stands beside the descriptors, which cannot be sent without a byte of data.
-const MESSAGE: [u8; 1] = [1];
-/// The callers' socket and the one at which successors ask.
-const SOCKETS: usize = 2;
+/// How long a predecessor may take to send its sockets. A frozen one never does.
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Sent along with the descriptors, which cannot be sent without at least one byte of data.
+const DESCRIPTOR_CARRIER: [u8; 1] = [1];
+/// Number of sockets sent: the callers' listening socket and the Unix socket for handover requests.
+const SOCKET_COUNT: usize = 2;
 
-/// The callers' listening socket, and what is needed to pass it on.
+/// The callers' listening socket, and the means to hand it over.
 #[derive(Debug)]
 pub struct CallersSocket {
     listener: TcpListener,
-    /// Where a successor asks; none while another router has that name.
-    asked_at: Option<UnixListener>,
-    /// Present if the socket was taken over. The predecessor sees by its end that this router
-    /// has gone.
+    /// Unix socket on which successors request the handover; absent if another router has bound its
+    /// name.
+    request_listener: Option<UnixListener>,
+    /// Present if the socket was taken over. The predecessor detects by the end of this connection
+    /// that this router has exited.
     predecessor: Option<UnixStream>,
 }
 
-/// Offers the callers' socket to successors in the background.
+/// Offers the callers' listening socket to successors in a background task.
 #[derive(Debug)]
 pub struct Handover {
-    offering: JoinHandle<()>,
-    successor: Rc<Cell<Successor>>,
+    offer_task: JoinHandle<()>,
+    successor_state: Rc<Cell<SuccessorState>>,
     predecessor: Option<UnixStream>,
 }
 
-/// What is known of the router that took the callers' socket over.
+/// State of the router that took the callers' listening socket over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Successor {
+enum SuccessorState {
     None,
     Running,
     Gone,
 }
 
 impl CallersSocket {
-    /// Takes the socket of an address over from the router that has it, or opens a new one.
+    /// Takes the socket of an address over from the router that holds it, or opens a new one.
     pub async fn open(address: SocketAddr) -> Result<Self> {
-        match timeout(TAKE_OVER_TIMEOUT, take_over(address)).await {
-            Ok(Ok(taken)) => {
-                log::info!(address:%; "the callers' socket is taken over");
-                return Ok(taken);
+        match timeout(HANDOVER_TIMEOUT, take_over(address)).await {
+            Ok(Ok(taken_over)) => {
+                log::info!(address:%; "listening socket taken over from another router");
+                return Ok(taken_over);
             }
-            Ok(Err(err)) => log::info!(address:%; "no router passes the callers' socket on: {err}"),
+            Ok(Err(err)) => log::info!(address:%; "listening socket not taken over: {err}"),
             Err(_elapsed) => {
-                log::warn!(address:%; "a router has the callers' socket and does not pass it on");
+                log::warn!(address:%; "timed out waiting for the handover of the listening socket");
             }
         }
-        let asked_at = UnixListener::bind(name_of(address))
-            .inspect_err(|err| log::warn!("the callers' socket cannot be passed on: {err}"));
+        let request_listener = UnixListener::bind(request_socket_name(address))
+            .inspect_err(|err| log::warn!("cannot offer the listening socket for handover: {err}"));
         Ok(Self {
             listener: listen_shared(address)?,
-            asked_at: asked_at.ok(),
+            request_listener: request_listener.ok(),
             predecessor: None,
         })
     }
 
-    /// Offers the socket to successors, and returns it for this router's own use.
+    /// Starts to offer the socket to successors, and returns it for this router's own use.
     pub fn offer(self) -> Result<(TcpListener, Handover)> {
-        let kept = self.listener.try_clone().map_err(|err| {
-            Error::Unreachable(format!("the callers' socket cannot be passed on: {err}"))
+        let offered_listener = self.listener.try_clone().map_err(|err| {
+            Error::Unreachable(format!(
+                "cannot offer the listening socket for handover: {err}"
+            ))
         })?;
-        let successor = Rc::new(Cell::new(Successor::None));
-        let offering = offer_on(self.asked_at, kept, successor.clone());
+        let successor_state = Rc::new(Cell::new(SuccessorState::None));
+        let offer_task = serve_successors(
+            self.request_listener,
+            offered_listener,
+            successor_state.clone(),
+        );
         let handover = Handover {
-            offering: actix_rt::spawn(offering),
-            successor,
+            offer_task: actix_rt::spawn(offer_task),
+            successor_state,
             predecessor: self.predecessor,
         };
         Ok((self.listener, handover))
@@ -99,84 +106,90 @@
 }
 
 impl Handover {
-    /// Stops offering the socket, and returns how it may be left.
-    pub async fn stop(self) -> Leaving {
-        self.offering.abort();
-        // The task holds a descriptor of the callers' socket until it has ended.
-        let _aborted = self.offering.await;
-        match (self.successor.get(), self.predecessor) {
-            (Successor::Running, _) => Leaving::ToSuccessor,
-            (Successor::None, None) => Leaving::Alone,
-            (Successor::Gone, _) | (Successor::None, Some(_)) => Leaving::Uncertain,
+    /// Stops offering the socket, and returns which other processes may hold it.
+    pub async fn stop(self) -> ListenerRelease {
+        self.offer_task.abort();
+        // The task holds a descriptor of the listening socket until it has ended.
+        let _aborted = self.offer_task.await;
+        match (self.successor_state.get(), self.predecessor) {
+            (SuccessorState::Running, _) => ListenerRelease::ToSuccessor,
+            (SuccessorState::None, None) => ListenerRelease::Alone,
+            (SuccessorState::Gone, _) | (SuccessorState::None, Some(_)) => {
+                ListenerRelease::Uncertain
+            }
         }
     }
 }
 
-/// Returns the name, in the network namespace of the callers' address, at which its socket is asked
-/// for. The leading zero byte makes it an abstract one, which lies in no file system.
-fn name_of(address: SocketAddr) -> String {
+/// Returns the name of the Unix socket on which the handover of an address's listening socket is
+/// requested. The leading zero byte makes it an abstract socket, which belongs to the same network
+/// namespace as the address and has no file.
+fn request_socket_name(address: SocketAddr) -> String {
     format!("\0gatepier-router/{address}")
 }
 
 async fn take_over(address: SocketAddr) -> io::Result<CallersSocket> {
-    let predecessor = UnixStream::connect(name_of(address)).await?;
+    let predecessor = UnixStream::connect(request_socket_name(address)).await?;
     check_user(&predecessor)?;
     let receive = || receive_sockets(predecessor.as_fd());
-    let [listener, asked_at] = predecessor.async_io(Interest::READABLE, receive).await?;
+    let [listener, request_listener] = predecessor.async_io(Interest::READABLE, receive).await?;
     let listener = TcpListener::from(listener);
     if !SockRef::from(&listener).is_listener()? || listener.local_addr()? != address {
-        return Err(io::Error::other("another socket was passed on"));
+        return Err(io::Error::other(
+            "received a socket that does not listen on the address",
+        ));
     }
     Ok(CallersSocket {
         listener,
-        asked_at: Some(UnixListener::from_std(asked_at.into())?),
+        request_listener: Some(UnixListener::from_std(request_listener.into())?),
         predecessor: Some(predecessor),
     })
 }
 
-/// Answers one successor after the other, the next one when the one before has gone.
-async fn offer_on(
-    asked_at: Option<UnixListener>,
+/// Hands the sockets over to one successor at a time, to the next one when the previous one has
+/// exited.
+async fn serve_successors(
+    request_listener: Option<UnixListener>,
     listener: TcpListener,
-    state: Rc<Cell<Successor>>,
+    successor_state: Rc<Cell<SuccessorState>>,
 ) {
-    let Some(asked_at) = asked_at else {
+    let Some(request_listener) = request_listener else {
         return;
     };
     loop {
-        let mut successor = match asked_at.accept().await {
+        let mut successor = match request_listener.accept().await {
             Ok((stream, _)) => stream,
             Err(err) => {
-                log::warn!("a successor cannot be answered: {err}");
-                sleep(ACCEPT_PAUSE).await;
+                log::warn!("failed to accept a handover request: {err}");
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        if let Err(err) = pass_on(&successor, &listener, &asked_at).await {
-            log::warn!("the callers' socket was not passed on: {err}");
+        if let Err(err) = hand_over(&successor, &listener, &request_listener).await {
+            log::warn!("failed to hand the listening socket over: {err}");
             continue;
         }
-        log::info!("the callers' socket is passed on to a successor");
-        state.set(Successor::Running);
-        // A successor never writes: whatever comes is its end.
+        log::info!("listening socket handed over to a successor");
+        successor_state.set(SuccessorState::Running);
+        // A successor never writes, so the read returns only when its connection ends.
         let end = successor.read(&mut [0]).await;
-        log::info!(end:?; "the successor has left the callers' socket");
-        state.set(Successor::Gone);
+        log::info!(end:?; "the successor that held the listening socket has exited");
+        successor_state.set(SuccessorState::Gone);
     }
 }
 
-async fn pass_on(
+async fn hand_over(
     successor: &UnixStream,
     listener: &TcpListener,
-    asked_at: &UnixListener,
+    request_listener: &UnixListener,
 ) -> io::Result<()> {
     check_user(successor)?;
-    let sockets = [listener.as_fd(), asked_at.as_fd()];
+    let sockets = [listener.as_fd(), request_listener.as_fd()];
     let send = || send_sockets(successor.as_fd(), &sockets);
     successor.async_io(Interest::WRITABLE, send).await
 }
 
-/// Refuses another user's process: names of this kind carry no permissions.
+/// Rejects processes of other users, since abstract sockets have no permissions.
 fn check_user(peer: &UnixStream) -> io::Result<()> {
     let user = peer.peer_cred()?.uid();
     match user == rustix::process::geteuid().as_raw() {
@@ -185,20 +198,25 @@
     }
 }
 
-fn send_sockets(to: BorrowedFd<'_>, sockets: &[BorrowedFd<'_>; SOCKETS]) -> io::Result<()> {
-    let mut space = [MaybeUninit::uninit(); cmsg_space!(ScmRights(SOCKETS))];
+fn send_sockets(to: BorrowedFd<'_>, sockets: &[BorrowedFd<'_>; SOCKET_COUNT]) -> io::Result<()> {
+    let mut space = [MaybeUninit::uninit(); cmsg_space!(ScmRights(SOCKET_COUNT))];
     let mut control = SendAncillaryBuffer::new(&mut space);
     let fits = control.push(SendAncillaryMessage::ScmRights(sockets));
-    debug_assert!(fits, "the space is made for these");
+    debug_assert!(fits, "the buffer has room for all descriptors");
     let flags = SendFlags::NOSIGNAL | SendFlags::DONTWAIT;
-    sendmsg(to, &[IoSlice::new(&MESSAGE)], &mut control, flags)?;
+    sendmsg(
+        to,
+        &[IoSlice::new(&DESCRIPTOR_CARRIER)],
+        &mut control,
+        flags,
+    )?;
     Ok(())
 }
 
-fn receive_sockets(from: BorrowedFd<'_>) -> io::Result<[OwnedFd; SOCKETS]> {
-    let mut space = [MaybeUninit::uninit(); cmsg_space!(ScmRights(SOCKETS))];
+fn receive_sockets(from: BorrowedFd<'_>) -> io::Result<[OwnedFd; SOCKET_COUNT]> {
+    let mut space = [MaybeUninit::uninit(); cmsg_space!(ScmRights(SOCKET_COUNT))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
-    let mut buf = MESSAGE;
+    let mut buf = DESCRIPTOR_CARRIER;
     let flags = RecvFlags::CMSG_CLOEXEC | RecvFlags::DONTWAIT;
     recvmsg(from, &mut [IoSliceMut::new(&mut buf)], &mut control, flags)?;
     let mut received = Vec::new();
@@ -209,5 +227,5 @@
     }
     received
         .try_into()
-        .map_err(|_| io::Error::other("the predecessor passed no sockets on"))
+        .map_err(|_| io::Error::other("the predecessor sent an unexpected number of sockets"))
 }
--- a/src/http_server/lent_stream.rs
+++ b/src/http_server/lent_stream.rs
@@ -1,6 +1,6 @@
-//! A connection that a library serves and that its owner gets back at the end.
+//! A connection that a library serves, and that the caller of the library gets back at the end.
 
-use super::ending::Notice;
+use super::ending::CloseHeader;
 use std::cell::RefCell;
 use std::io;
 use std::pin::Pin;
@@ -9,32 +9,32 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A connection on loan. Its end is not passed on: how a connection ends is up to its owner,
-/// who may have something to say on it yet.
+/// A connection that returns to its [`Loan`] when it is dropped. Shutting it down only
+/// flushes it, so that a final response can still be written to the reclaimed connection.
 #[derive(Debug)]
 pub struct LentStream {
-    /// Present until the loan ends.
+    /// Present until the stream is dropped.
     stream: Option<TcpStream>,
     loan: Rc<Loan>,
 }
 
-/// What the owner keeps of a connection that is on loan.
+/// Gets the connection of a [`LentStream`] back.
 #[derive(Debug, Default)]
 pub struct Loan {
-    returned: RefCell<Option<TcpStream>>,
-    /// What the caller was told of the connection's end.
-    pub notice: Notice,
+    reclaimed: RefCell<Option<TcpStream>>,
+    /// Whether a response has asked the caller to close the connection.
+    pub notice: CloseHeader,
 }
 
 impl Loan {
-    /// Returns the connection, once whoever had it has let go of it.
+    /// Returns the connection, once the [`LentStream`] has been dropped.
     pub fn take_back(&self) -> Option<TcpStream> {
-        self.returned.borrow_mut().take()
+        self.reclaimed.borrow_mut().take()
     }
 }
 
 impl LentStream {
-    /// Lends a connection.
+    /// Wraps a connection.
     pub fn lend(stream: TcpStream) -> Self {
         Self {
             stream: Some(stream),
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Returns what the owner keeps meanwhile.
+    /// Returns the handle that gets the connection back.
     pub fn loan(&self) -> &Rc<Loan> {
         &self.loan
     }
@@ -56,7 +56,7 @@
 
 impl Drop for LentStream {
     fn drop(&mut self) {
-        *self.loan.returned.borrow_mut() = self.stream.take();
+        *self.loan.reclaimed.borrow_mut() = self.stream.take();
     }
 }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the daemons and of the command line.
+//! Settings of the daemons and of the command-line tool.
 
 pub mod agent;
 pub mod operator;
@@ -14,14 +14,14 @@
 const ADDRESS_EXPECTED: &str = "an IP address and port such as 127.0.0.1:7000";
 const NAME_EXPECTED: &str = "a name of letters, digits, `-`, `_` and `.`";
 
-/// Which box a process runs on.
+/// Identity of the box that a process runs on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BoxIdentity {
     /// The partner whose fleet the box belongs to.
     pub partner: String,
-    /// The box's name, which is never used again after the box was replaced.
+    /// The box's name, which is not reused after the box has been replaced.
     pub name: String,
-    /// The hall in which the box stands.
+    /// The hall that the box is in.
     pub hall: String,
     /// All halls of the partner, in the same order on every box.
     pub halls: Vec<String>,
@@ -37,7 +37,7 @@
     if let Some(hall) = &hall
         && !halls.contains(hall)
     {
-        root.fault("hall", format!("`{hall}` does not stand among `halls`"));
+        root.fault("hall", format!("`{hall}` is not listed in `halls`"));
     }
     Some(BoxIdentity {
         partner: partner?,
@@ -61,7 +61,7 @@
     section.optional_parsed(key, ADDRESS_EXPECTED, |text| text.parse().ok())
 }
 
-/// Reads the `[tls]` table; relative paths are taken from the settings file's folder.
+/// Reads the `[tls]` table; relative paths are relative to the settings file's folder.
 fn read_tls(root: &Section<'_>, folder: &Path) -> Option<TlsFiles> {
     root.section("tls", |tls| {
         let authority = tls.text("authority");
@@ -75,6 +75,6 @@
     })
 }
 
-fn folder_of(file: &Path) -> &Path {
+fn parent_folder(file: &Path) -> &Path {
     file.parent().unwrap_or(Path::new("."))
 }
--- a/src/settings/agent.rs
+++ b/src/settings/agent.rs
@@ -1,7 +1,7 @@
 //! Settings of `gatepier-agent`.
 
 use super::reader::{Document, Section};
-use super::{BoxIdentity, folder_of, read_address, read_identity, read_name, read_tls};
+use super::{BoxIdentity, parent_folder, read_address, read_identity, read_name, read_tls};
 use crate::change::Operators;
 use crate::error::Result;
 use crate::guard::GuardPolicy;
@@ -10,31 +10,31 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// What an agent is told at its start.
+/// Settings of an agent.
 #[derive(Debug, Clone)]
 pub struct AgentSettings {
-    /// Which box the agent runs on.
+    /// The box that the agent runs on.
     pub identity: BoxIdentity,
-    /// Where the agent listens for routers, peers and the command line.
+    /// Address on which the agent listens for routers, other agents and the command line.
     pub listen: SocketAddr,
-    /// Where metrics are read.
+    /// Address on which metrics are served.
     pub metrics: SocketAddr,
-    /// The platform's key-value service.
+    /// Address of the platform's key-value service.
     pub store: SocketAddr,
-    /// The platform's list of boxes.
+    /// Address of the platform's list of boxes.
     pub list: SocketAddr,
-    /// Peers to ask while the list is not known.
+    /// Addresses of other agents to contact as long as the list of boxes is unknown.
     pub seeds: Vec<SocketAddr>,
-    /// The certificate of the box.
+    /// Files with the box's certificate.
     pub tls: TlsFiles,
-    /// The operators whose signatures count.
+    /// Operators whose signatures are accepted.
     pub operators: Operators,
-    /// What the exposure guard tolerates.
+    /// Thresholds of the exposure guard.
     pub guard: GuardPolicy,
 }
 
 impl AgentSettings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     pub fn load(file: &Path) -> Result<Self> {
         let document = Document::load(file)?;
         document.read(|root| {
@@ -45,7 +45,7 @@
             let list = read_address(root, "list");
             let seeds =
                 root.parsed_list("seeds", super::ADDRESS_EXPECTED, |text| text.parse().ok());
-            let tls = read_tls(root, folder_of(file));
+            let tls = read_tls(root, parent_folder(file));
             let operators = read_operators(root);
             let guard = root
                 .optional_section("guard", read_guard)
@@ -79,22 +79,24 @@
     if operators.is_empty() {
         root.fault(
             "operator",
-            "at least two operators are needed, for a bundle and its sign-off",
+            "at least two operators are required: one to author a bundle and one to sign it off",
         );
     }
     operators.into_iter().collect()
 }
 
 fn read_guard(section: &Section<'_>) -> Option<GuardPolicy> {
-    const FEWEST: u64 = 1_000;
-    const MOST: u64 = 1_000_000_000_000;
+    /// Inclusive lower bound of `answers_to_false_alarm`.
+    const MIN_ANSWERS: u64 = 1_000;
+    /// Exclusive upper bound of `answers_to_false_alarm`.
+    const ANSWERS_BOUND: u64 = 1_000_000_000_000;
     let default = GuardPolicy::default();
     let tolerated_bad = section.fraction("tolerated_bad", default.tolerated_bad);
     let tolerated_failed = section.fraction("tolerated_failed", default.tolerated_failed);
     let answers = section.number(
         "answers_to_false_alarm",
         default.answers_to_false_alarm as u64,
-        FEWEST..MOST,
+        MIN_ANSWERS..ANSWERS_BOUND,
     );
     Some(GuardPolicy {
         tolerated_bad: tolerated_bad?.max(f64::EPSILON),
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -1,33 +1,33 @@
-//! Settings of the operators' command line.
+//! Settings of the operators' command-line tool.
 
 use super::agent::read_operators;
 use super::reader::Document;
-use super::{folder_of, read_address, read_name, read_tls};
+use super::{parent_folder, read_address, read_name, read_tls};
 use crate::change::Operators;
 use crate::error::Result;
 use crate::wire::tls::TlsFiles;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// What the command line needs to know of a partner's fleet.
+/// Settings that the command-line tool needs to operate a partner's fleet.
 #[derive(Debug, Clone)]
 pub struct OperatorSettings {
     /// The partner.
     pub partner: String,
-    /// The platform's key-value service.
+    /// Address of the platform's key-value service.
     pub store: SocketAddr,
-    /// Agents to ask for status and explanations.
+    /// Addresses of agents to query for status and decisions.
     pub agents: Vec<SocketAddr>,
-    /// The operator's signing key.
+    /// File with the operator's signing key.
     pub key: PathBuf,
-    /// The certificate that agents accept.
+    /// Files with a certificate that agents accept.
     pub tls: TlsFiles,
-    /// The operators whose signatures count.
+    /// Operators whose signatures are accepted.
     pub operators: Operators,
 }
 
 impl OperatorSettings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     pub fn load(file: &Path) -> Result<Self> {
         let document = Document::load(file)?;
         document.read(|root| {
@@ -36,13 +36,13 @@
             let agents =
                 root.parsed_list("agents", super::ADDRESS_EXPECTED, |text| text.parse().ok());
             let key = root.text("key");
-            let tls = read_tls(root, folder_of(file));
+            let tls = read_tls(root, parent_folder(file));
             let operators = read_operators(root);
             Some(Self {
                 partner: partner?,
                 store: store?,
                 agents,
-                key: folder_of(file).join(key?),
+                key: parent_folder(file).join(key?),
                 tls: tls?,
                 operators,
             })
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -1,7 +1,7 @@
-//! Reads TOML files strictly and reports all their faults together.
+//! Strict reader of TOML files that reports all faults of a file together.
 //!
-//! Each fault keeps its place. A key that nobody asked for is a fault too, since
-//! a misspelt key would otherwise be ignored silently.
+//! Each finding carries its position. A key that is never requested is a fault too, since a
+//! misspelt key would otherwise be ignored silently.
 
 use crate::error::{Error, Finding, Result};
 use std::cell::RefCell;
@@ -12,7 +12,7 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// A TOML document that collects the findings made while it is read.
+/// TOML document that collects the findings made while it is read.
 #[derive(Debug)]
 pub struct Document {
     file: PathBuf,
@@ -21,14 +21,14 @@
 }
 
 impl Document {
-    /// Reads the document's text from a file.
+    /// Loads a document from a file.
     pub fn load(file: &Path) -> Result<Self> {
         let text =
             std::fs::read_to_string(file).map_err(|err| Error::File(file.to_owned(), err))?;
         Ok(Self::new(file, &text))
     }
 
-    /// Makes a document of a text, with the file's name for its findings.
+    /// Creates a document from a text; findings carry the file's name.
     pub fn new(file: &Path, text: &str) -> Self {
         Self {
             file: file.to_owned(),
@@ -42,14 +42,14 @@
         &self.text
     }
 
-    /// Reads the whole document and returns either its value or all of its faults.
+    /// Reads the whole document, and returns its value or all its faults.
     pub fn read<T>(&self, read: impl FnOnce(&Section<'_>) -> Option<T>) -> Result<T> {
         let value = match DeTable::parse(&self.text) {
             Ok(table) => {
                 let span = table.span();
                 let section = Section::new(self, table.get_ref(), span);
                 let value = read(&section);
-                section.refuse_unknown_keys();
+                section.report_unknown_keys();
                 value
             }
             Err(err) => {
@@ -73,20 +73,20 @@
     fn take_findings(&self) -> Vec<Finding> {
         let mut findings = self.findings.take();
         findings.sort_by_key(|(offset, _)| *offset);
-        let place = |(offset, message): (usize, String)| {
+        let to_finding = |(offset, message): (usize, String)| {
             Finding::at(&self.file, &self.text, offset, message)
         };
-        findings.into_iter().map(place).collect()
+        findings.into_iter().map(to_finding).collect()
     }
 }
 
-/// One table of a document, which remembers the keys that were asked for.
+/// Table of a document, which records the keys that are requested.
 #[derive(Debug)]
 pub struct Section<'a> {
     document: &'a Document,
     table: &'a DeTable<'a>,
     span: Range<usize>,
-    known: RefCell<BTreeSet<&'static str>>,
+    requested_keys: RefCell<BTreeSet<&'static str>>,
 }
 
 impl<'a> Section<'a> {
@@ -95,61 +95,61 @@
             document,
             table,
             span,
-            known: RefCell::default(),
+            requested_keys: RefCell::default(),
         }
     }
 
-    /// Returns where the table begins, for findings that concern it as a whole.
+    /// Returns the byte offset of the table, for findings about the table as a whole.
     pub fn offset(&self) -> usize {
         self.span.start
     }
 
-    /// Returns where a key's value stands, or the table's start if the key is absent.
+    /// Returns the byte offset of a key's value, or of the table if the key is absent.
     pub fn offset_of(&self, key: &str) -> usize {
         self.table
             .get(key)
             .map_or(self.span.start, |value| value.span().start)
     }
 
-    /// Adds a finding at a key's value.
+    /// Adds a finding about a key, at its value.
     pub fn fault(&self, key: &str, message: impl Into<String>) {
         self.document.add(self.offset_of(key), message.into());
     }
 
     fn lookup(&self, key: &'static str) -> Option<&'a Spanned<DeValue<'a>>> {
-        self.known.borrow_mut().insert(key);
+        self.requested_keys.borrow_mut().insert(key);
         self.table.get(key)
     }
 
-    /// Tells whether a key is present.
+    /// Returns whether a key is present.
     pub fn has(&self, key: &'static str) -> bool {
         self.lookup(key).is_some()
     }
 
-    fn missing<T>(&self, key: &str) -> Option<T> {
+    fn report_missing<T>(&self, key: &str) -> Option<T> {
         self.document
             .add(self.span.start, format!("the key `{key}` is missing"));
         None
     }
 
-    /// Reads a text that may be absent.
-    pub fn optional_text(&self, key: &'static str) -> Option<String> {
+    /// Reads an optional string.
+    pub fn optional_string(&self, key: &'static str) -> Option<String> {
         let value = self.lookup(key)?;
         match value.get_ref() {
             DeValue::String(text) => Some(text.to_string()),
-            _ => self.wrong_type(value, key, "a text"),
+            _ => self.report_wrong_type(value, key, "a string"),
         }
     }
 
-    /// Reads a text; its absence is a fault.
+    /// Reads a required string.
     pub fn text(&self, key: &'static str) -> Option<String> {
         if !self.has(key) {
-            return self.missing(key);
+            return self.report_missing(key);
         }
-        self.optional_text(key)
+        self.optional_string(key)
     }
 
-    /// Reads a text and converts it; a text that does not convert is a fault.
+    /// Reads a required string and parses it; a string that cannot be parsed is a fault.
     pub fn parsed<T>(
         &self,
         key: &'static str,
@@ -159,15 +159,12 @@
         let text = self.text(key)?;
         let value = parse(&text);
         if value.is_none() {
-            self.fault(
-                key,
-                format!("`{key}` is `{text}`, but {expected} is expected"),
-            );
+            self.fault(key, format!("`{key}` is `{text}`, expected {expected}"));
         }
         value
     }
 
-    /// Reads a converted text that may be absent.
+    /// Reads an optional string and parses it.
     pub fn optional_parsed<T>(
         &self,
         key: &'static str,
@@ -181,7 +178,7 @@
         }
     }
 
-    /// Reads a whole number within bounds, or the default if it is absent.
+    /// Reads an integer within bounds, or returns the default if it is absent.
     pub fn number(&self, key: &'static str, default: u64, bounds: Range<u64>) -> Option<u64> {
         let Some(value) = self.lookup(key) else {
             return Some(default);
@@ -190,17 +187,17 @@
             DeValue::Integer(number) => {
                 u64::from_str_radix(&number.as_str().replace('_', ""), number.radix()).ok()
             }
-            _ => return self.wrong_type(value, key, "a whole number"),
+            _ => return self.report_wrong_type(value, key, "an integer"),
         };
         let number = number.filter(|number| bounds.contains(number));
         if number.is_none() {
-            let (least, most) = (bounds.start, bounds.end - 1);
-            self.fault(key, format!("`{key}` must lie between {least} and {most}"));
+            let (min, max) = (bounds.start, bounds.end - 1);
+            self.fault(key, format!("`{key}` must be between {min} and {max}"));
         }
         number
     }
 
-    /// Reads a duration in milliseconds.
+    /// Reads a duration in milliseconds within bounds, or returns the default if it is absent.
     pub fn millis(
         &self,
         key: &'static str,
@@ -211,7 +208,7 @@
         self.number(key, default, bounds).map(Duration::from_millis)
     }
 
-    /// Reads a fraction between zero and one, or the default if it is absent.
+    /// Reads a number between zero and one, or returns the default if it is absent.
     pub fn fraction(&self, key: &'static str, default: f64) -> Option<f64> {
         let Some(value) = self.lookup(key) else {
             return Some(default);
@@ -219,48 +216,48 @@
         let number: Option<f64> = match value.get_ref() {
             DeValue::Float(number) => number.as_str().parse().ok(),
             DeValue::Integer(number) => number.as_str().parse().ok(),
-            _ => return self.wrong_type(value, key, "a number"),
+            _ => return self.report_wrong_type(value, key, "a number"),
         };
         let number = number.filter(|number| (0.0..=1.0).contains(number));
         if number.is_none() {
-            self.fault(key, format!("`{key}` must lie between 0 and 1"));
+            self.fault(key, format!("`{key}` must be between 0 and 1"));
         }
         number
     }
 
-    /// Reads a truth value, or the default if it is absent.
-    pub fn truth(&self, key: &'static str, default: bool) -> Option<bool> {
+    /// Reads a boolean, or returns the default if it is absent.
+    pub fn boolean(&self, key: &'static str, default: bool) -> Option<bool> {
         let Some(value) = self.lookup(key) else {
             return Some(default);
         };
         match value.get_ref() {
-            DeValue::Boolean(truth) => Some(*truth),
-            _ => self.wrong_type(value, key, "true or false"),
+            DeValue::Boolean(value) => Some(*value),
+            _ => self.report_wrong_type(value, key, "a boolean"),
         }
     }
 
-    /// Reads a list of texts, each with its place; an absent list is empty.
-    pub fn texts(&self, key: &'static str) -> Vec<(usize, String)> {
+    /// Reads an array of strings, each with its byte offset; an absent array is empty.
+    pub fn strings(&self, key: &'static str) -> Vec<(usize, String)> {
         let Some(value) = self.lookup(key) else {
             return Vec::new();
         };
         let DeValue::Array(items) = value.get_ref() else {
-            let _: Option<()> = self.wrong_type(value, key, "a list of texts");
+            let _: Option<()> = self.report_wrong_type(value, key, "an array of strings");
             return Vec::new();
         };
-        let mut texts = Vec::new();
+        let mut strings = Vec::new();
         for item in items.iter() {
             match item.get_ref() {
-                DeValue::String(text) => texts.push((item.span().start, text.to_string())),
+                DeValue::String(text) => strings.push((item.span().start, text.to_string())),
                 _ => {
-                    let _: Option<()> = self.wrong_type(item, key, "a list of texts");
+                    let _: Option<()> = self.report_wrong_type(item, key, "an array of strings");
                 }
             }
         }
-        texts
+        strings
     }
 
-    /// Reads a list of converted texts; those that do not convert are faults.
+    /// Reads an array of strings and parses them; strings that cannot be parsed are faults.
     pub fn parsed_list<T>(
         &self,
         key: &'static str,
@@ -268,31 +265,31 @@
         parse: impl Fn(&str) -> Option<T>,
     ) -> Vec<T> {
         let mut values = Vec::new();
-        for (offset, text) in self.texts(key) {
+        for (offset, text) in self.strings(key) {
             match parse(&text) {
                 Some(value) => values.push(value),
                 None => {
                     self.document
-                        .add(offset, format!("`{text}` stands where {expected} should"));
+                        .add(offset, format!("`{text}` is invalid, expected {expected}"));
                 }
             }
         }
         values
     }
 
-    /// Reads a sub-table; its absence is a fault.
+    /// Reads a required sub-table.
     pub fn section<T>(
         &self,
         key: &'static str,
         read: impl FnOnce(&Section<'_>) -> Option<T>,
     ) -> Option<T> {
         if !self.has(key) {
-            return self.missing(key);
+            return self.report_missing(key);
         }
         self.optional_section(key, read)
     }
 
-    /// Reads a sub-table that may be absent.
+    /// Reads an optional sub-table.
     pub fn optional_section<T>(
         &self,
         key: &'static str,
@@ -301,11 +298,11 @@
         let value = self.lookup(key)?;
         match value.get_ref() {
             DeValue::Table(table) => self.read_table(table, value.span(), read),
-            _ => self.wrong_type(value, key, "a table"),
+            _ => self.report_wrong_type(value, key, "a table"),
         }
     }
 
-    /// Reads an array of tables; an absent one is empty.
+    /// Reads an array of tables; an absent array is empty.
     pub fn sections<T>(
         &self,
         key: &'static str,
@@ -315,7 +312,7 @@
             return Vec::new();
         };
         let DeValue::Array(items) = value.get_ref() else {
-            let _: Option<()> = self.wrong_type(value, key, "an array of tables");
+            let _: Option<()> = self.report_wrong_type(value, key, "an array of tables");
             return Vec::new();
         };
         let mut values = Vec::new();
@@ -325,7 +322,7 @@
                     values.extend(self.read_table(table, item.span(), &mut read));
                 }
                 _ => {
-                    let _: Option<()> = self.wrong_type(item, key, "an array of tables");
+                    let _: Option<()> = self.report_wrong_type(item, key, "an array of tables");
                 }
             }
         }
@@ -340,20 +337,29 @@
     ) -> Option<T> {
         let section = Section::new(self.document, table, span);
         let value = read(&section);
-        section.refuse_unknown_keys();
+        section.report_unknown_keys();
         value
     }
 
-    fn wrong_type<T>(&self, value: &Spanned<DeValue<'_>>, key: &str, expected: &str) -> Option<T> {
+    fn report_wrong_type<T>(
+        &self,
+        value: &Spanned<DeValue<'_>>,
+        key: &str,
+        expected: &str,
+    ) -> Option<T> {
         let found = value.get_ref().type_str();
-        let message = format!("`{key}` must be {expected}, but a {found} stands here");
+        let message = format!("`{key}` must be {expected}, found {found}");
         self.document.add(value.span().start, message);
         None
     }
 
-    fn refuse_unknown_keys(&self) {
+    fn report_unknown_keys(&self) {
         for key in self.table.keys() {
-            if !self.known.borrow().contains(key.get_ref().as_ref()) {
+            if !self
+                .requested_keys
+                .borrow()
+                .contains(key.get_ref().as_ref())
+            {
                 self.document
                     .add(key.span().start, format!("unknown key `{}`", key.get_ref()));
             }
--- a/src/settings/router.rs
+++ b/src/settings/router.rs
@@ -2,7 +2,8 @@
 
 use super::reader::{Document, Section};
 use super::{
-    BoxIdentity, folder_of, read_address, read_identity, read_name, read_optional_address, read_tls,
+    BoxIdentity, parent_folder, read_address, read_identity, read_name, read_optional_address,
+    read_tls,
 };
 use crate::error::Result;
 use crate::session::SessionKey;
@@ -13,47 +14,48 @@
 use std::time::Duration;
 
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
-const LONGEST_DEADLINE_MS: u64 = 600_000;
-const DEFAULT_DRAIN: Duration = Duration::from_secs(60);
-const DEFAULT_BODY_LIMIT: u64 = 2 * 1024 * 1024;
-const MOST_WORKERS: u64 = 64;
+/// Exclusive upper bound of the default deadline and of the drain timeout.
+const DEADLINE_BOUND_MS: u64 = 600_000;
+const DEFAULT_DRAIN_TIMEOUT: Duration = Duration::from_secs(60);
+const DEFAULT_BODY_LIMIT_BYTES: u64 = 2 * 1024 * 1024;
+const MAX_WORKERS: u64 = 64;
 const DEFAULT_WORKERS: u64 = 2;
-const DIGEST_DIGITS: usize = 64;
-const DEFAULT_UPSTREAM_LIMIT: u64 = 64;
+const SHA256_HEX_DIGITS: usize = 64;
+const DEFAULT_UPSTREAM_LIMIT_REQUESTS: u64 = 64;
 
-/// What a router is told at its start.
+/// Settings of a router.
 #[derive(Debug, Clone)]
 pub struct RouterSettings {
-    /// Which box the router runs on.
+    /// The box that the router runs on.
     pub identity: BoxIdentity,
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub listen: SocketAddr,
-    /// Where metrics and readiness are read.
+    /// Address on which metrics and readiness are served.
     pub metrics: SocketAddr,
-    /// The agent of the same box.
+    /// Address of the box's agent.
     pub agent: SocketAddr,
-    /// The service that rates answers, if there is one.
+    /// Address of the service that rates answers, if there is one.
     pub rater: Option<SocketAddr>,
-    /// The certificate of the box.
+    /// Files with the box's certificate.
     pub tls: TlsFiles,
-    /// The key with which session tokens are signed, the same on all of a partner's boxes.
+    /// Key that signs session tokens, the same on all boxes of a partner.
     pub session_key: SessionKey,
-    /// The organisations by the SHA-256 digest of their credential.
+    /// Names of the organisations, by the SHA-256 digests of their credentials.
     pub credentials: BTreeMap<String, String>,
-    /// How many threads serve callers.
+    /// Number of threads that serve callers.
     pub workers: usize,
-    /// The deadline of requests that name none.
+    /// Deadline of requests that set none.
     pub deadline: Duration,
-    /// How long a planned stop waits for requests under way.
+    /// How long a graceful shutdown waits for requests in progress.
     pub drain: Duration,
-    /// The greatest body of a request in bytes.
+    /// Maximum size of a request body in bytes.
     pub body_limit: usize,
-    /// How many requests one model upstream is given at a time by this box.
+    /// Maximum number of concurrent requests from this box to one model upstream.
     pub upstream_limit: usize,
 }
 
 impl RouterSettings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     pub fn load(file: &Path) -> Result<Self> {
         let document = Document::load(file)?;
         document.read(|root| {
@@ -62,15 +64,18 @@
             let metrics = read_address(root, "metrics");
             let agent = read_address(root, "agent");
             let rater = read_optional_address(root, "rater");
-            let tls = read_tls(root, folder_of(file));
+            let tls = read_tls(root, parent_folder(file));
             let session_key = root.parsed("session_key", "32 bytes in base64", SessionKey::parse);
             let credentials = read_credentials(root);
-            let workers = root.number("workers", DEFAULT_WORKERS, 1..MOST_WORKERS + 1);
-            let deadline = root.millis("deadline_ms", DEFAULT_DEADLINE, 1..LONGEST_DEADLINE_MS);
-            let drain = root.millis("drain_ms", DEFAULT_DRAIN, 0..LONGEST_DEADLINE_MS);
-            let body_limit = root.number("body_limit", DEFAULT_BODY_LIMIT, 1..1 << 32);
-            let upstream_limit =
-                root.number("upstream_limit", DEFAULT_UPSTREAM_LIMIT, 1..1_000_000);
+            let workers = root.number("workers", DEFAULT_WORKERS, 1..MAX_WORKERS + 1);
+            let deadline = root.millis("deadline_ms", DEFAULT_DEADLINE, 1..DEADLINE_BOUND_MS);
+            let drain = root.millis("drain_ms", DEFAULT_DRAIN_TIMEOUT, 0..DEADLINE_BOUND_MS);
+            let body_limit = root.number("body_limit", DEFAULT_BODY_LIMIT_BYTES, 1..1 << 32);
+            let upstream_limit = root.number(
+                "upstream_limit",
+                DEFAULT_UPSTREAM_LIMIT_REQUESTS,
+                1..1_000_000,
+            );
             Some(Self {
                 identity: identity?,
                 listen: listen?,
@@ -95,7 +100,7 @@
         let digits = text
             .chars()
             .all(|c| c.is_ascii_digit() || ('a'..='f').contains(&c));
-        (digits && text.len() == DIGEST_DIGITS).then(|| text.to_owned())
+        (digits && text.len() == SHA256_HEX_DIGITS).then(|| text.to_owned())
     };
     let credentials = root.sections("credential", |section| {
         let organisation = read_name(section, "organisation");
--- a/src/store.rs
+++ b/src/store.rs
@@ -1,7 +1,7 @@
-//! The platform's key-value service, behind one trait.
+//! Interface to the platform's key-value service.
 //!
-//! Everything that is agreed or has to last goes through here, one key at a time.
-//! A new form of the service costs one module like [`etcd`].
+//! All state that has to be agreed on or to persist is stored here, and each write affects one key.
+//! Support for another service takes one more module like [`etcd`].
 
 pub mod etcd;
 pub mod layout;
@@ -11,48 +11,48 @@
 use std::cell::Cell;
 use std::fmt;
 
-/// A value with the revision at which it was written.
+/// Value with the revision at which it was written.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Versioned {
     /// The value.
     pub value: Vec<u8>,
-    /// The store's revision at the last write of the key.
+    /// Revision of the store at the last write of the key.
     pub revision: u64,
 }
 
-/// The outcome of a conditional write that the store answered.
+/// Outcome of a conditional write that the store has answered.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// The condition held and the value is written.
+    /// The condition held and the value was written.
     Written,
-    /// The condition did not hold; the key holds this.
+    /// The condition did not hold; carries the key's current value, if it exists.
     Conflict(Option<Versioned>),
 }
 
-/// Why the store gave no answer.
+/// Why a call to the store failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreError {
     /// The call never reached the store.
     Unreachable(String),
-    /// The call may have taken effect, but no answer came.
+    /// The call may have taken effect, but no valid response came.
     AnswerLost(String),
-    /// The store turned the call away and did nothing.
+    /// The store refused the call, which had no effect.
     Refused(String),
 }
 
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unreachable(reason) => write!(f, "the store cannot be reached: {reason}"),
-            Self::AnswerLost(reason) => write!(f, "the store's answer was lost: {reason}"),
-            Self::Refused(reason) => write!(f, "the store turned the call away: {reason}"),
+            Self::Unreachable(reason) => write!(f, "the store is unreachable: {reason}"),
+            Self::AnswerLost(reason) => write!(f, "the store's response was lost: {reason}"),
+            Self::Refused(reason) => write!(f, "the store refused the call: {reason}"),
         }
     }
 }
 
 impl std::error::Error for StoreError {}
 
-/// The condition of a conditional write.
+/// Condition of a write, for compare-and-swap.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Condition {
     /// The key must not exist.
@@ -61,15 +61,15 @@
     Revision(u64),
 }
 
-/// The result of a call to the store.
+/// Result of a call to the store.
 pub type StoreResult<T> = Result<T, StoreError>;
 
-/// What the system needs of the platform's key-value service.
+/// The operations that the system needs of the platform's key-value service.
 pub trait Store: fmt::Debug {
     /// Reads one key.
     fn get<'a>(&'a self, key: &'a str) -> LocalBoxFuture<'a, StoreResult<Option<Versioned>>>;
 
-    /// Reads the keys with a prefix that come after a key, in order, up to a limit.
+    /// Reads the keys with a prefix that sort after a key, in order, up to a limit.
     fn list<'a>(
         &'a self,
         prefix: &'a str,
@@ -92,18 +92,18 @@
         after: u64,
     ) -> LocalBoxFuture<'a, StoreResult<()>>;
 
-    /// Returns the calls made so far.
+    /// Returns the numbers of calls made so far.
     fn calls(&self) -> StoreCalls;
 }
 
-/// The calls that a process made to the store, by kind.
+/// Numbers of calls that a process has made to the store, by kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct StoreCalls {
     /// Reads of keys and of prefixes.
     pub reads: u64,
-    /// Conditional writes, whether they took effect or not.
+    /// Conditional writes, whether or not they took effect.
     pub writes: u64,
-    /// Watches that were opened.
+    /// Watches opened.
     pub watches: u64,
 }
 
@@ -125,11 +125,10 @@
     }
 }
 
-/// Creates a key, and settles a lost answer by reading the key back.
+/// Creates a key, and resolves a lost response by reading the key back.
 ///
-/// Returns what the key holds afterwards: [`WriteOutcome::Written`] if it is this
-/// very value, else the value that was there first. The value has to be unlike any
-/// other writer's, by a random id in it.
+/// Returns [`WriteOutcome::Written`] if the key then holds this value, and otherwise the value that
+/// was there first. Values must be unique to their writer, by a random id in them.
 pub async fn create_settled(
     store: &dyn Store,
     key: &str,
@@ -140,7 +139,7 @@
             Ok(WriteOutcome::Written)
         }
         Err(StoreError::AnswerLost(reason)) => read_back(store, key, value, reason).await,
-        answered => answered,
+        outcome => outcome,
     }
 }
 
@@ -150,11 +149,13 @@
     value: &[u8],
     reason: String,
 ) -> StoreResult<WriteOutcome> {
-    let lost = |err: StoreError| StoreError::AnswerLost(format!("{reason}; reading back: {err}"));
-    match store.get(key).await.map_err(lost)? {
+    let response_lost = |err: StoreError| {
+        StoreError::AnswerLost(format!("{reason}; reading the key back failed: {err}"))
+    };
+    match store.get(key).await.map_err(response_lost)? {
         Some(found) if found.value == value => Ok(WriteOutcome::Written),
         Some(found) => Ok(WriteOutcome::Conflict(Some(found))),
-        // The lost write may still be under way, so an absent key proves nothing.
+        // The write may still arrive, so an absent key does not prove that it failed.
         None => Err(StoreError::AnswerLost(reason)),
     }
 }
--- a/src/store/etcd.rs
+++ b/src/store/etcd.rs
@@ -1,4 +1,4 @@
-//! The adapter for stores that speak the etcd v3 JSON gateway's published form.
+//! Store client for the JSON gateway of etcd v3.
 
 use super::{
     CallCounter, Condition, Store, StoreCalls, StoreError, StoreResult, Versioned, WriteOutcome,
@@ -13,20 +13,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The longest wait for a call's answer to begin, and then for more of it; a slow store must
-/// not hold its callers up.
+/// Maximum wait for a response to begin, and then for each further part of it, so that a slow store
+/// does not block its callers.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest that one watch is kept open before it is renewed.
+/// How long a watch stays open before it is renewed.
 pub const WATCH_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How an answer is read: the largest takes 6.7 s over a link of 10 Mbit/s.
-const READING: ReadLimits = ReadLimits {
+/// Limits on reading a response; the largest one takes 6.7 s over a 10 Mbit/s link.
+const RESPONSE_LIMITS: ReadLimits = ReadLimits {
     silence: CALL_TIMEOUT,
     longest: Duration::from_secs(10),
     most_bytes: 8 * 1024 * 1024,
 };
 
-/// A store that is reached over HTTP.
+/// Store that is accessed over HTTP.
 pub struct EtcdStore {
     client: Client,
     address: SocketAddr,
@@ -41,7 +41,7 @@
     }
 }
 
-/// A key and its value, as the gateway writes them: base64 for bytes, text for numbers.
+/// Key and value in the gateway's format: bytes in base64, numbers as strings.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct KeyValue {
     /// The key in base64.
@@ -49,25 +49,25 @@
     /// The value in base64.
     #[serde(default)]
     pub value: String,
-    /// The revision of the last write.
+    /// Revision of the key's last write.
     #[serde(default)]
     pub mod_revision: String,
 }
 
-/// A request for a range of keys.
+/// Request for a range of keys.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RangeRequest {
     /// The first key in base64.
     pub key: String,
-    /// The key behind the last one in base64; absent for a single key.
+    /// The exclusive end of the range in base64; absent for a single key.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub range_end: Option<String>,
-    /// The greatest number of keys; zero means no limit.
+    /// Maximum number of keys; zero means no limit.
     #[serde(default)]
     pub limit: String,
 }
 
-/// An answer with a range of keys.
+/// Response with a range of keys.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct RangeResponse {
     /// The keys found.
@@ -75,7 +75,7 @@
     pub kvs: Vec<KeyValue>,
 }
 
-/// A request to write a key.
+/// Request to write a key.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PutRequest {
     /// The key in base64.
@@ -84,20 +84,20 @@
     pub value: String,
 }
 
-/// A comparison within a transaction.
+/// Comparison in a transaction.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Compare {
     /// The key in base64.
     pub key: String,
-    /// What is compared; here always `MOD`.
+    /// The property to compare; always `MOD` here.
     pub target: String,
-    /// How it is compared; here always `EQUAL`.
+    /// The comparison operator; always `EQUAL` here.
     pub result: String,
-    /// The expected revision of the last write; zero means that the key is absent.
+    /// Expected revision of the last write; zero means that the key is absent.
     pub mod_revision: String,
 }
 
-/// An operation within a transaction.
+/// Operation in a transaction.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum Operation {
@@ -107,44 +107,44 @@
     RequestPut(PutRequest),
 }
 
-/// A transaction: one of two lists of operations, by comparisons.
+/// Transaction that runs one of two lists of operations, depending on comparisons.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TxnRequest {
     /// The comparisons, all of which must hold.
     pub compare: Vec<Compare>,
-    /// What is done if they hold.
+    /// Operations to run if the comparisons hold.
     pub success: Vec<Operation>,
-    /// What is done otherwise.
+    /// Operations to run otherwise.
     pub failure: Vec<Operation>,
 }
 
-/// The answer to one operation of a transaction.
+/// Response to one operation of a transaction.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct OperationResponse {
-    /// The answer to a read.
+    /// The result of a read.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub response_range: Option<RangeResponse>,
 }
 
-/// The answer to a transaction.
+/// Response to a transaction.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct TxnResponse {
     /// Whether the comparisons held.
     #[serde(default)]
     pub succeeded: bool,
-    /// The operations' answers.
+    /// The responses to the operations.
     #[serde(default)]
     pub responses: Vec<OperationResponse>,
 }
 
-/// A request that opens a watch.
+/// Request to open a watch.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WatchRequest {
-    /// What to watch.
+    /// The key to watch.
     pub create_request: WatchCreate,
 }
 
-/// What a watch is for.
+/// Parameters of a watch.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WatchCreate {
     /// The key in base64.
@@ -153,17 +153,17 @@
     pub start_revision: String,
 }
 
-/// One line of a watch's answer.
+/// One line of a watch's response.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WatchLine {
-    /// What happened.
+    /// The events.
     pub result: WatchResult,
 }
 
-/// The events in one line of a watch's answer.
+/// Events in one line of a watch's response.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct WatchResult {
-    /// Whether the line only tells that the watch is open.
+    /// Whether the line only confirms that the watch is open.
     #[serde(default)]
     pub created: bool,
     /// The events.
@@ -171,19 +171,19 @@
     pub events: Vec<WatchEvent>,
 }
 
-/// One event of a watch.
+/// Event of a watch.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WatchEvent {
     /// The key after the event.
     pub kv: KeyValue,
 }
 
-/// Encodes bytes as the gateway expects them.
+/// Encodes bytes in the gateway's format.
 pub fn encode(bytes: impl AsRef<[u8]>) -> String {
     BASE64.encode(bytes)
 }
 
-/// Decodes bytes as the gateway writes them.
+/// Decodes bytes in the gateway's format.
 pub fn decode(text: &str) -> Option<Vec<u8>> {
     BASE64.decode(text).ok()
 }
@@ -212,7 +212,7 @@
 }
 
 impl EtcdStore {
-    /// Makes an adapter for the gateway at an address.
+    /// Creates a client for the gateway at an address.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             client: reusing_client(),
@@ -225,10 +225,10 @@
         format!("http://{}{path}", self.address)
     }
 
-    async fn call<Q, A>(&self, path: &str, query: &Q) -> StoreResult<A>
+    async fn call<Request, Response>(&self, path: &str, query: &Request) -> StoreResult<Response>
     where
-        Q: Serialize,
-        A: serde::de::DeserializeOwned,
+        Request: Serialize,
+        Response: serde::de::DeserializeOwned,
     {
         let request = self.client.post(self.url(path)).timeout(CALL_TIMEOUT);
         let mut res = request.send_json(query).await.map_err(|err| {
@@ -238,11 +238,14 @@
                 StoreError::AnswerLost(err.to_string())
             }
         })?;
-        let body = read_answer(&mut res, READING)
+        let body = read_answer(&mut res, RESPONSE_LIMITS)
             .await
             .map_err(StoreError::AnswerLost)?;
         if !res.status().is_success() {
-            return Err(StoreError::AnswerLost(format!("status {}", res.status())));
+            return Err(StoreError::AnswerLost(format!(
+                "unexpected status {}",
+                res.status()
+            )));
         }
         serde_json::from_slice(&body).map_err(|err| StoreError::AnswerLost(err.to_string()))
     }
@@ -252,7 +255,7 @@
         self.call("/v3/kv/range", &query).await
     }
 
-    async fn wait(&self, key: &str, after: u64) -> StoreResult<()> {
+    async fn watch_until_change(&self, key: &str, after: u64) -> StoreResult<()> {
         self.counter.count(|calls| calls.watches += 1);
         let create_request = WatchCreate {
             key: encode(key),
@@ -283,7 +286,7 @@
     }
 }
 
-/// Returns the key behind all keys with a prefix.
+/// Returns the exclusive end of the range of keys with a prefix.
 fn prefix_end(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     if let Some(last) = end.last_mut() {
@@ -311,14 +314,14 @@
         limit: usize,
     ) -> LocalBoxFuture<'a, StoreResult<Vec<(String, Versioned)>>> {
         Box::pin(async move {
-            let first = if after.is_empty() {
+            let first_key = if after.is_empty() {
                 prefix.to_owned()
             } else {
                 format!("{after}\0")
             };
             let range_end = Some(encode(prefix_end(prefix)));
             let query = RangeRequest {
-                key: encode(first),
+                key: encode(first_key),
                 range_end,
                 limit: limit.to_string(),
             };
@@ -364,14 +367,14 @@
                 success: vec![Operation::RequestPut(put)],
                 failure: vec![Operation::RequestRange(range)],
             };
-            let answer: TxnResponse = self.call("/v3/kv/txn", &txn).await?;
-            if answer.succeeded {
+            let response: TxnResponse = self.call("/v3/kv/txn", &txn).await?;
+            if response.succeeded {
                 return Ok(WriteOutcome::Written);
             }
-            let found = answer
+            let found = response
                 .responses
                 .into_iter()
-                .find_map(|response| response.response_range);
+                .find_map(|operation| operation.response_range);
             Ok(WriteOutcome::Conflict(
                 found.and_then(RangeResponse::into_first),
             ))
@@ -384,7 +387,7 @@
         after: u64,
     ) -> LocalBoxFuture<'a, StoreResult<()>> {
         Box::pin(async move {
-            match tokio::time::timeout(WATCH_TIMEOUT, self.wait(key, after)).await {
+            match tokio::time::timeout(WATCH_TIMEOUT, self.watch_until_change(key, after)).await {
                 Ok(outcome) => outcome,
                 Err(_) => Ok(()),
             }
--- a/src/wire/client.rs
+++ b/src/wire/client.rs
@@ -1,8 +1,8 @@
-//! Calls to another process of the fleet.
+//! Client for calls to another process of the fleet.
 
 use super::message::{ControlRequest, ControlResponse, Update};
 use super::tls::FleetTls;
-use super::{WireError, decode, encode, read_body, release, split_frame};
+use super::{WireError, decode, encode, read_body, release_window, split_frame};
 use bytes::{Bytes, BytesMut};
 use h2::client::SendRequest;
 use http::{Method, Request, StatusCode};
@@ -12,14 +12,14 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// The path of calls with one answer.
+/// Path of calls with a single response.
 pub const CALL_PATH: &str = "/call";
-/// The path of the stream of updates.
+/// Path of the update stream.
 pub const FOLLOW_PATH: &str = "/follow";
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A connection to one other process, which is opened when it is needed.
+/// Connection to another process, opened on demand and reused.
 #[derive(Debug)]
 pub struct WireClient {
     address: SocketAddr,
@@ -29,7 +29,7 @@
 }
 
 impl WireClient {
-    /// Makes a client for the process at an address.
+    /// Creates a client for the process at an address.
     pub fn new(address: SocketAddr, tls: FleetTls) -> Self {
         Self {
             address,
@@ -44,15 +44,16 @@
         self.address
     }
 
-    /// Returns the bytes of all messages sent so far, without those of h2 and TLS.
+    /// Returns the total size in bytes of the messages sent, without the overhead of HTTP/2 and
+    /// TLS.
     pub fn bytes_sent(&self) -> u64 {
         self.bytes_sent.get()
     }
 
-    /// Calls the other process and waits for its answer until the deadline.
+    /// Sends a call and waits for its response until the deadline.
     ///
-    /// After a call without an answer the connection is given up, since the other
-    /// process may be frozen or cut off.
+    /// A call without a response drops the connection, since the other process may be frozen or
+    /// partitioned.
     pub async fn call(
         &self,
         request: &ControlRequest,
@@ -61,21 +62,25 @@
         let body = encode(request)?;
         self.bytes_sent
             .set(self.bytes_sent.get() + body.len() as u64);
-        let sender = self.connected().await?;
-        let answer = match timeout(deadline, exchange(sender, body)).await {
-            Ok(answer) => answer,
+        let sender = self.ready_connection().await?;
+        let response = match timeout(deadline, send_call(sender, body)).await {
+            Ok(response) => response,
             Err(_) => Err(WireError::NoAnswer("the deadline passed".to_owned())),
         };
-        if answer.is_err() {
+        if response.is_err() {
             self.connection.borrow_mut().take();
         }
-        decode(&answer?)
+        decode(&response?)
     }
 
-    /// Follows the updates that the other process sends.
+    /// Opens the stream of updates of the other process.
     pub async fn follow(&self) -> Result<UpdateStream, WireError> {
-        let sender = self.connected().await?;
-        let opened = timeout(CONNECT_TIMEOUT, open(sender, FOLLOW_PATH, Bytes::new())).await;
+        let sender = self.ready_connection().await?;
+        let opened = timeout(
+            CONNECT_TIMEOUT,
+            send_request(sender, FOLLOW_PATH, Bytes::new()),
+        )
+        .await;
         let body = opened.map_err(|_| WireError::NoAnswer("the deadline passed".to_owned()))??;
         Ok(UpdateStream {
             body,
@@ -83,9 +88,9 @@
         })
     }
 
-    async fn connected(&self) -> Result<SendRequest<Bytes>, WireError> {
-        let present = self.connection.borrow().clone();
-        if let Some(sender) = present
+    async fn ready_connection(&self) -> Result<SendRequest<Bytes>, WireError> {
+        let existing = self.connection.borrow().clone();
+        if let Some(sender) = existing
             && let Ok(sender) = sender.ready().await
         {
             return Ok(sender);
@@ -118,18 +123,18 @@
         .map_err(|err| not_sent(err.to_string()))?;
     actix_rt::spawn(async move {
         if let Err(err) = connection.await {
-            log::debug!("a connection to {address} ended: {err}");
+            log::debug!("connection to {address} closed: {err}");
         }
     });
     Ok(sender)
 }
 
-async fn exchange(sender: SendRequest<Bytes>, body: Bytes) -> Result<Bytes, WireError> {
-    let mut body = open(sender, CALL_PATH, body).await?;
+async fn send_call(sender: SendRequest<Bytes>, body: Bytes) -> Result<Bytes, WireError> {
+    let mut body = send_request(sender, CALL_PATH, body).await?;
     read_body(&mut body).await
 }
 
-async fn open(
+async fn send_request(
     mut sender: SendRequest<Bytes>,
     path: &str,
     body: Bytes,
@@ -144,12 +149,15 @@
     stream.send_data(body, true).map_err(no_answer)?;
     let response = response.await.map_err(no_answer)?;
     if response.status() != StatusCode::OK {
-        return Err(WireError::NoAnswer(format!("status {}", response.status())));
+        return Err(WireError::NoAnswer(format!(
+            "unexpected status {}",
+            response.status()
+        )));
     }
     Ok(response.into_body())
 }
 
-/// The updates that another process sends, in order.
+/// Stream of updates from another process, in order.
 #[derive(Debug)]
 pub struct UpdateStream {
     body: h2::RecvStream,
@@ -157,7 +165,7 @@
 }
 
 impl UpdateStream {
-    /// Waits for the next update; none means that the other process ended the stream.
+    /// Waits for the next update, or returns `None` if the other process has ended the stream.
     pub async fn next(&mut self) -> Result<Option<Update>, WireError> {
         loop {
             if let Some(frame) = split_frame(&mut self.buf)? {
@@ -167,7 +175,7 @@
                 return Ok(None);
             };
             let chunk = chunk.map_err(|err| WireError::NoAnswer(err.to_string()))?;
-            release(&mut self.body, chunk.len())?;
+            release_window(&mut self.body, chunk.len())?;
             self.buf.extend_from_slice(&chunk);
         }
     }
--- a/src/wire/message.rs
+++ b/src/wire/message.rs
@@ -1,4 +1,4 @@
-//! The messages between the system's own processes.
+//! Messages between the fleet's processes.
 
 use crate::change::{Generation, SignedEntry};
 use crate::claim::message::{Refusal, ReplicaMessage};
@@ -11,132 +11,133 @@
 use crate::store::StoreCalls;
 use serde::{Deserialize, Serialize};
 
-/// A call from a router, a peer or the command line to an agent.
+/// Call from a router, another agent or the command line to an agent.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum ControlRequest {
-    /// A peer tells how far it is.
+    /// Another agent sends a summary of its state, to compare the two.
     Compare(Summary),
-    /// A peer asks for a bundle's text by its digest.
+    /// Another agent asks for a bundle's text by its digest.
     FetchBundle(String),
-    /// An attempt asks for a key; `relayed` says that an agent passed the call on.
+    /// An attempt claims a key.
     Claim {
         /// The key.
         key: ClaimKey,
         /// The attempt.
         attempt: AttemptId,
-        /// Whether an agent passed the call on already.
+        /// Whether an agent has relayed the call; relayed calls are not relayed again.
         relayed: bool,
     },
-    /// An attempt that was never dispatched gives its key back.
+    /// An attempt that was never dispatched releases its key.
     Release {
         /// The key.
         key: ClaimKey,
         /// The attempt.
         attempt: AttemptId,
-        /// Whether an agent passed the call on already.
+        /// Whether an agent has relayed the call; relayed calls are not relayed again.
         relayed: bool,
     },
-    /// A request ended.
+    /// A request has ended.
     Finish {
         /// The key.
         key: ClaimKey,
         /// The attempt.
         attempt: AttemptId,
-        /// How it ended.
+        /// How the request ended.
         finish: Finish,
-        /// Whether an agent passed the call on already.
+        /// Whether an agent has relayed the call; relayed calls are not relayed again.
         relayed: bool,
     },
-    /// A shard's owner tells its witness what changed, with the view it acts under
-    /// where the witness may not have heard of it.
+    /// A shard's owner replicates a change to its witness, along with the view that it acts under
+    /// if the witness may not know it.
     Replicate(Box<ReplicaMessage>, Option<View>),
-    /// A shard's owner is about to stop and asks its witness to take over.
+    /// A shard's owner is about to stop and asks its witness to take the shard over.
     Yield(ShardId),
-    /// A router reports what it decided and what came of it.
+    /// A router reports its decisions and their results.
     Report(Report),
-    /// The command line asks what was decided about a request.
+    /// The command line asks for the decisions about a request, by its id.
     Explain(String),
-    /// The command line asks how an agent stands.
+    /// The command line asks for the agent's status.
     Status,
 }
 
-/// The answer to a call.
+/// Response to a call.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum ControlResponse {
-    /// The call was taken.
+    /// The call was carried out.
     Done,
-    /// The end of a request is kept here alone for now; a second agent should keep it too.
+    /// The end of a request is stored on this agent only; a second agent should store it too.
     Kept,
-    /// What the other agent has newer than the caller.
+    /// The parts of the agent's state that are newer than the caller's.
     Newer(Box<Newer>),
     /// A bundle's text, if the agent has it.
     Bundle(Option<String>),
-    /// The reply to an attempt.
+    /// The result of a claim.
     Claim(ClaimReply),
-    /// Whether the witness acknowledges, and the view it holds if it does not.
+    /// Whether the witness acknowledges the change; if not, the reason and the witness's view.
     Replicated(Result<(), (Refusal, Option<View>)>),
-    /// What was decided about a request, as far as this agent has heard of it.
+    /// The decisions about a request that this agent knows.
     Explained(Vec<DecisionRecord>),
-    /// How an agent stands.
+    /// The agent's status.
     Status(Box<AgentStatus>),
     /// The call could not be carried out; nothing was changed.
     Failed(String),
 }
 
-/// How far an agent is, in few bytes, so that peers can compare every second.
+/// Compact summary of an agent's state, so that agents can compare theirs every second.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
     /// The agent.
     pub member: Member,
-    /// Its generation of the change log.
+    /// The generation of the change log that it has.
     pub generation: Generation,
-    /// The revision of its live list.
+    /// The revision of the live list that it has.
     pub list_revision: u64,
-    /// A digest of its views.
+    /// Digest of its shard views.
     pub views_digest: u64,
-    /// A digest of its suspensions.
+    /// Digest of its suspensions.
     pub suspensions_digest: u64,
-    /// Milliseconds since the agent last heard from the store, directly or through a peer.
+    /// Milliseconds since the last data from the store, received directly or through another agent.
     pub store_age_ms: Option<u64>,
-    /// Whether the agent is about to stop and should get no new duties.
+    /// Whether the agent is about to stop and must not be given new duties.
     pub stopping: bool,
-    /// Counts that changed since the agent last spoke to this peer.
+    /// Counts that have changed since the last summary to this peer.
     pub evidence: Vec<EvidenceCell>,
-    /// Requests that were at crashes of upstreams.
+    /// Requests that were in progress when upstreams crashed.
     pub crashes: Vec<CrashRecord>,
 }
 
-/// What one agent has newer than another. Everything in it may be repeated or
-/// delayed without harm, since the receiver keeps the newer of each part.
+/// The parts of one agent's state that are newer than another's. The receiver keeps the newer
+/// version of each part, so duplicates and delays do no harm.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Newer {
-    /// The answering agent, as far as it tells.
+    /// Summary of the responding agent's state, if it includes one.
     pub summary: Option<Summary>,
-    /// The newest entry of the change log.
+    /// Newest entry of the change log.
     pub entry: Option<SignedEntry>,
     /// The live list.
     pub list: Option<LiveList>,
-    /// The views.
+    /// Shard views.
     pub views: Vec<View>,
-    /// The suspensions.
+    /// Suspended versions.
     pub suspensions: Vec<Suspension>,
 }
 
-/// What a router tells its agent, several requests at a time.
+/// Batched report of a router to its agent.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The decisions, for `gatepier explain`.
+    /// Decision records for `gatepier explain`.
     pub records: Vec<DecisionRecord>,
-    /// What was seen of versions, as sums since the router started.
+    /// Evidence about versions, as sums since the router started.
     pub evidence: Vec<EvidenceCell>,
-    /// Requests that were at crashes of upstreams.
+    /// Requests that were in progress when upstreams crashed.
     pub crashes: Vec<CrashRecord>,
 }
 
-/// What an agent tells its routers. Each part stands alone and replaces the former.
+/// Update from an agent to its routers. Each kind is independent of the others, and a newer update
+/// replaces the previous one of its kind.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Update {
-    /// The change log's newest entry, already verified, with its bundle.
+    /// The newest entry of the change log, already verified, and its bundle.
     Change {
         /// The entry.
         entry: SignedEntry,
@@ -147,44 +148,44 @@
     Live(LiveList),
     /// The versions that the exposure guard suspended.
     Suspended(Vec<Suspension>),
-    /// The counts of all agents, from which cascades learn.
+    /// The counts of all agents, from which cascades are adapted.
     Evidence(Vec<EvidenceCell>),
-    /// Nothing changed; the agent is there.
+    /// Keep-alive message.
     Alive,
-    /// Claims and bills were lost with the agents that held them; the routers tell the
-    /// ends of their newest requests once more.
+    /// Claims and bills were lost together with the agents that held them; routers send the ends of
+    /// their most recent requests again.
     ClaimsLost,
-    /// What was heard of requests that were at crashes of upstreams.
+    /// Known requests that were in progress when upstreams crashed.
     Crashes(Vec<CrashRecord>),
 }
 
-/// How an agent stands, for `gatepier status`.
+/// Status of an agent, for `gatepier status`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AgentStatus {
     /// The agent.
     pub member: Member,
-    /// Its hall.
+    /// The agent's hall.
     pub hall: String,
-    /// Its generation of the change log.
+    /// The generation of the change log that it has.
     pub generation: Generation,
-    /// The digest of the bundle in force.
+    /// Digest of the bundle in force.
     pub bundle: Option<String>,
-    /// Milliseconds since the agent last heard from the store, directly or through a peer.
+    /// Milliseconds since the last data from the store, received directly or through another agent.
     pub store_age_ms: Option<u64>,
-    /// The revision of its live list.
+    /// The revision of the live list that it has.
     pub list_revision: u64,
-    /// Whether it makes the store calls of its hall.
+    /// Whether it makes the store calls on behalf of its hall.
     pub is_hub: bool,
-    /// How many agents it hears of.
+    /// Number of agents that it currently hears from.
     pub peers_heard: usize,
-    /// The shards it owns, and of these the ones in which it can grant claims.
+    /// Number of shards that it owns, and of those in which it can grant claims.
     pub shards: (usize, usize),
-    /// The bills that wait for the ledger.
+    /// Number of bills that are not yet in the ledger.
     pub bills_waiting: usize,
-    /// The suspended versions.
+    /// Suspended versions.
     pub suspensions: Vec<Suspension>,
-    /// Its calls to the store so far.
+    /// Number of calls to the store since its start.
     pub store_calls: StoreCalls,
-    /// The bytes of its messages to peers so far.
+    /// Bytes of messages sent to other agents since its start.
     pub bytes_sent: u64,
 }
--- a/src/wire/server.rs
+++ b/src/wire/server.rs
@@ -1,11 +1,11 @@
-//! Answers calls from other processes of the fleet.
+//! Server for calls from other processes of the fleet.
 
 use super::client::{CALL_PATH, FOLLOW_PATH};
 use super::message::{ControlRequest, ControlResponse, Update};
 use super::tls::FleetTls;
 use super::{WireError, decode, encode, encode_frame, read_body};
 use crate::http_server::accept::accept;
-use crate::http_server::h2::send_as_read;
+use crate::http_server::h2::send_with_flow_control;
 use bytes::Bytes;
 use futures::future::LocalBoxFuture;
 use h2::server::SendResponse;
@@ -17,14 +17,15 @@
 use tokio::time::timeout;
 
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long the caller may take to send the body of a call.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a process answers to the other processes of its fleet.
+/// Handles the calls from other processes of the fleet.
 pub trait Handler {
-    /// Answers one call.
+    /// Handles a call and returns the response.
     fn handle(self: Rc<Self>, request: ControlRequest) -> LocalBoxFuture<'static, ControlResponse>;
 
-    /// Returns the updates for one follower, beginning with the whole present state.
+    /// Returns the update stream for one subscriber, which begins with the complete current state.
     fn follow(self: Rc<Self>) -> mpsc::Receiver<Update>;
 }
 
@@ -37,84 +38,86 @@
 }
 
 async fn serve_connection<H: Handler + 'static>(tcp: TcpStream, tls: FleetTls, handler: Rc<H>) {
-    let from = tcp.peer_addr();
-    if let Err(reason) = try_serve(tcp, tls, handler).await {
-        log::debug!("a connection from {from:?} ended: {reason}");
+    let peer = tcp.peer_addr();
+    if let Err(reason) = handle_connection(tcp, tls, handler).await {
+        log::debug!("connection from {peer:?} closed: {reason}");
     }
 }
 
-async fn try_serve<H: Handler + 'static>(
+async fn handle_connection<H: Handler + 'static>(
     tcp: TcpStream,
     tls: FleetTls,
     handler: Rc<H>,
 ) -> Result<(), String> {
     tcp.set_nodelay(true).map_err(|err| err.to_string())?;
-    let secured = timeout(HANDSHAKE_TIMEOUT, tls.acceptor.accept(tcp)).await;
-    let secured = secured
+    let tls_stream = timeout(HANDSHAKE_TIMEOUT, tls.acceptor.accept(tcp)).await;
+    let tls_stream = tls_stream
         .map_err(|err| err.to_string())?
         .map_err(|err| err.to_string())?;
-    let mut connection = h2::server::handshake(secured)
+    let mut connection = h2::server::handshake(tls_stream)
         .await
         .map_err(|err| err.to_string())?;
     while let Some(accepted) = connection.accept().await {
         let (request, respond) = accepted.map_err(|err| err.to_string())?;
-        actix_rt::spawn(answer(request, respond, handler.clone()));
+        actix_rt::spawn(respond_to(request, respond, handler.clone()));
     }
     Ok(())
 }
 
-async fn answer<H: Handler + 'static>(
+async fn respond_to<H: Handler + 'static>(
     request: Request<h2::RecvStream>,
     respond: SendResponse<Bytes>,
     handler: Rc<H>,
 ) {
     let outcome = match request.uri().path() {
-        CALL_PATH => answer_call(request.into_body(), respond, handler).await,
-        FOLLOW_PATH => answer_follow(respond, handler.follow()).await,
-        _ => refuse(respond),
+        CALL_PATH => respond_to_call(request.into_body(), respond, handler).await,
+        FOLLOW_PATH => stream_updates(respond, handler.follow()).await,
+        _ => respond_not_found(respond),
     };
     if let Err(err) = outcome {
-        log::debug!("a call was not answered: {err}");
+        log::debug!("failed to respond to a call: {err}");
     }
 }
 
-async fn answer_call<H: Handler + 'static>(
+async fn respond_to_call<H: Handler + 'static>(
     mut body: h2::RecvStream,
     mut respond: SendResponse<Bytes>,
     handler: Rc<H>,
 ) -> Result<(), WireError> {
     let body = timeout(READ_TIMEOUT, read_body(&mut body)).await;
-    let body = body.map_err(|_| WireError::NoAnswer("the call came too slowly".to_owned()))??;
+    let body = body.map_err(|_| WireError::NoAnswer("timed out reading the call".to_owned()))??;
     let response = handler.handle(decode(&body)?).await;
     let mut stream = respond
         .send_response(Response::new(()), false)
-        .map_err(lost)?;
-    stream.send_data(encode(&response)?, true).map_err(lost)
+        .map_err(response_lost)?;
+    stream
+        .send_data(encode(&response)?, true)
+        .map_err(response_lost)
 }
 
-async fn answer_follow(
+async fn stream_updates(
     mut respond: SendResponse<Bytes>,
     mut updates: mpsc::Receiver<Update>,
 ) -> Result<(), WireError> {
     let mut stream = respond
         .send_response(Response::new(()), false)
-        .map_err(lost)?;
+        .map_err(response_lost)?;
     while let Some(update) = updates.recv().await {
-        let sent = send_as_read(&mut stream, encode_frame(&update)?).await;
-        sent.map_err(lost)?;
+        let sent = send_with_flow_control(&mut stream, encode_frame(&update)?).await;
+        sent.map_err(response_lost)?;
     }
-    stream.send_data(Bytes::new(), true).map_err(lost)
+    stream.send_data(Bytes::new(), true).map_err(response_lost)
 }
 
-fn refuse(mut respond: SendResponse<Bytes>) -> Result<(), WireError> {
+fn respond_not_found(mut respond: SendResponse<Bytes>) -> Result<(), WireError> {
     let mut response = Response::new(());
     *response.status_mut() = StatusCode::NOT_FOUND;
     respond
         .send_response(response, true)
         .map(|_| ())
-        .map_err(lost)
+        .map_err(response_lost)
 }
 
-fn lost(err: h2::Error) -> WireError {
+fn response_lost(err: h2::Error) -> WireError {
     WireError::NoAnswer(err.to_string())
 }
--- a/src/wire/tls.rs
+++ b/src/wire/tls.rs
@@ -1,4 +1,4 @@
-//! The fleet's TLS: both ends show a certificate of the fleet's own authority.
+//! Mutual TLS within the fleet: both peers present a certificate of the fleet's own authority.
 
 use crate::error::{Error, Result};
 use crate::keys::FLEET_SERVER_NAME;
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use tokio_rustls::{TlsAcceptor, TlsConnector};
 
-/// Where a process finds its certificate and the fleet's authority.
+/// Files with a process's certificate and the fleet's certificate authority.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TlsFiles {
     /// The authority's certificate.
@@ -21,7 +21,7 @@
     pub key: PathBuf,
 }
 
-/// A process's identity within its fleet.
+/// TLS identity of a process within its fleet, for both directions.
 #[derive(Clone)]
 pub struct FleetTls {
     pub(super) acceptor: TlsAcceptor,
@@ -38,7 +38,7 @@
 }
 
 impl FleetTls {
-    /// Reads the files and makes both halves of the identity of them.
+    /// Loads the identity from files.
     pub fn load(files: &TlsFiles) -> Result<Self> {
         let authority = read(&files.authority)?;
         let certificate = read(&files.certificate)?;
@@ -46,7 +46,7 @@
         Self::from_pem(&authority, &certificate, &key)
     }
 
-    /// Makes an identity of texts in PEM.
+    /// Creates an identity from PEM data.
     pub fn from_pem(authority: &[u8], certificate: &[u8], key: &[u8]) -> Result<Self> {
         let roots = Arc::new(read_roots(authority)?);
         let chain = read_certificates(certificate)?;
@@ -94,5 +94,5 @@
 }
 
 fn tls_error(err: impl std::fmt::Display) -> Error {
-    Error::Key(format!("the fleet's certificates cannot be used: {err}"))
+    Error::Key(format!("invalid fleet certificate or key: {err}"))
 }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,4 +1,4 @@
-//! Routers that take the callers' socket over from each other, in orders other than one by one.
+//! Handover of the callers' listening socket between routers, when replacements overlap or fail.
 
 mod common;
 
@@ -10,147 +10,156 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What a caller may wait for a connection, however routers are replaced.
-const LONGEST_CONNECTING: Duration = Duration::from_millis(100);
+/// Maximum time that a caller may need to connect, however routers are replaced.
+const MAX_CONNECT_TIME: Duration = Duration::from_millis(100);
 const CALLERS: usize = 16;
-/// A little longer than a router's notice.
-const NOTICE: Duration = Duration::from_millis(2500);
+/// Slightly longer than a stopping router goes on accepting connections.
+const SHUTDOWN_LEAD: Duration = Duration::from_millis(2500);
 
-const TAKEN_OVER: &str = "the callers' socket is taken over";
+const TAKEN_OVER_LOG_TEXT: &str = "listening socket taken over from another router";
 
-/// What callers saw that connect anew for each request.
+/// Results of a caller that opens a connection for each request.
 #[derive(Debug, Default)]
-struct Seen {
-    longest_connecting: Duration,
+struct CallerResult {
+    longest_connect_time: Duration,
     served: usize,
     not_served: Vec<Reply>,
 }
 
-async fn call_until(router: SocketAddr, is_over: Rc<Cell<bool>>) -> Seen {
-    let mut seen = Seen::default();
-    while !is_over.get() {
-        let began = Instant::now();
+async fn call_until(router: SocketAddr, is_stopped: Rc<Cell<bool>>) -> CallerResult {
+    let mut result = CallerResult::default();
+    while !is_stopped.get() {
+        let started = Instant::now();
         let mut connection = KeptConnection::open(router).await;
-        seen.longest_connecting = seen.longest_connecting.max(began.elapsed());
+        result.longest_connect_time = result.longest_connect_time.max(started.elapsed());
         match connection.read_manifest().await {
-            reply if reply.is_served() => seen.served += 1,
-            reply => seen.not_served.push(reply),
+            reply if reply.is_served() => result.served += 1,
+            reply => result.not_served.push(reply),
         }
         actix_rt::time::sleep(Duration::from_millis(5)).await;
     }
-    seen
+    result
 }
 
-/// A bench whose first box's routers come and go while callers use them.
-struct Replaced {
+/// Bench with callers on its first box, whose routers are replaced.
+struct ReplacementBench {
     bench: Bench,
-    is_over: Rc<Cell<bool>>,
-    callers: Vec<actix_rt::task::JoinHandle<Seen>>,
+    is_stopped: Rc<Cell<bool>>,
+    callers: Vec<actix_rt::task::JoinHandle<CallerResult>>,
 }
 
-impl Replaced {
-    /// Starts the bench and its callers, and returns the router that serves them.
+impl ReplacementBench {
+    /// Starts the bench and its callers, and returns it along with the router that serves them.
     async fn start() -> (Self, Process) {
         let mut bench = Bench::start(BenchPlan::default()).await;
         let running = bench.boxes.get_mut("ikeja-1").unwrap();
         let router = running.router.take().unwrap();
         let address = running.files.router;
-        let is_over = Rc::new(Cell::new(false));
-        let call = |_| actix_rt::spawn(call_until(address, is_over.clone()));
+        let is_stopped = Rc::new(Cell::new(false));
+        let call = |_| actix_rt::spawn(call_until(address, is_stopped.clone()));
         let callers = (0..CALLERS).map(call).collect();
-        let replaced = Self {
+        let replacement = Self {
             bench,
-            is_over,
+            is_stopped,
             callers,
         };
-        (replaced, router)
+        (replacement, router)
     }
 
     async fn successor(&self) -> Process {
         self.bench.start_successor("ikeja-1").await
     }
 
-    async fn ended(&self, router: &mut Process) {
-        let has_ended = async || router.ended().is_some();
-        self.bench.wait_for("a router has ended", has_ended).await;
+    async fn wait_for_exit(&self, router: &mut Process) {
+        let has_exited = async || router.ended().is_some();
+        self.bench.wait_for("a router has exited", has_exited).await;
         expect_that!(router.ended(), some(eq(true)));
     }
 
-    /// Ends the callers, and returns what each saw.
-    async fn finish(self) -> Vec<Seen> {
-        self.is_over.set(true);
-        let seen = join_all(self.callers).await;
-        seen.into_iter().map(|seen| seen.unwrap()).collect()
+    /// Stops the callers, and returns the results of each.
+    async fn finish(self) -> Vec<CallerResult> {
+        self.is_stopped.set(true);
+        let results = join_all(self.callers).await;
+        results.into_iter().map(|result| result.unwrap()).collect()
     }
 }
 
-fn nobody_waited(seen: &[Seen]) {
-    let longest = seen.iter().map(|seen| seen.longest_connecting).max();
-    let served: usize = seen.iter().map(|seen| seen.served).sum();
+fn expect_no_slow_connection(results: &[CallerResult]) {
+    let longest = results
+        .iter()
+        .map(|result| result.longest_connect_time)
+        .max();
+    let served: usize = results.iter().map(|result| result.served).sum();
     println!("{served} served, longest connecting {longest:?}");
-    expect_that!(longest, some(lt(LONGEST_CONNECTING)));
+    expect_that!(longest, some(lt(MAX_CONNECT_TIME)));
     expect_that!(served, gt(CALLERS));
 }
 
-fn all_were_served(seen: &[Seen]) {
-    let not_served: Vec<&Reply> = seen.iter().flat_map(|seen| &seen.not_served).collect();
+fn expect_all_served(results: &[CallerResult]) {
+    let not_served: Vec<&Reply> = results
+        .iter()
+        .flat_map(|result| &result.not_served)
+        .collect();
     expect_that!(not_served, is_empty());
 }
 
 cases! {
-    /// Each router is replaced before the one before it has stopped taking connections.
-    callers_are_served_at_once_as_replacements_overlap => async {
-        let (replaced, mut router) = Replaced::start().await;
+    /// Each router is replaced before its predecessor has stopped accepting connections.
+    callers_are_served_without_delay_while_replacements_overlap => async {
+        let (replacement, mut router) = ReplacementBench::start().await;
         let mut stopping = Vec::new();
         for _ in 0..4 {
-            let successor = replaced.successor().await;
+            let successor = replacement.successor().await;
             router.signal(libc::SIGTERM);
             stopping.push(std::mem::replace(&mut router, successor));
             actix_rt::time::sleep(Duration::from_millis(300)).await;
         }
         for router in &mut stopping {
-            replaced.ended(router).await;
+            replacement.wait_for_exit(router).await;
         }
-        expect_that!(replaced.bench.log_count(TAKEN_OVER), eq(4));
-        let seen = replaced.finish().await;
-        nobody_waited(&seen);
-        all_were_served(&seen);
+        expect_that!(replacement.bench.log_count(TAKEN_OVER_LOG_TEXT), eq(4));
+        let results = replacement.finish().await;
+        expect_no_slow_connection(&results);
+        expect_all_served(&results);
     };
 
-    /// A successor is taken back, and the router that it was to replace is replaced later.
-    socket_is_passed_on_again_when_a_successor_was_stopped => async {
-        let (replaced, mut router) = Replaced::start().await;
-        let mut taken_back = replaced.successor().await;
-        taken_back.signal(libc::SIGTERM);
-        replaced.ended(&mut taken_back).await;
-        let _next = replaced.successor().await;
+    /// A successor is stopped instead of the router that it was to replace, which another successor
+    /// replaces later.
+    socket_is_handed_over_again_after_a_successor_was_stopped => async {
+        let (replacement, mut router) = ReplacementBench::start().await;
+        let mut stopped_successor = replacement.successor().await;
+        stopped_successor.signal(libc::SIGTERM);
+        replacement.wait_for_exit(&mut stopped_successor).await;
+        let _next = replacement.successor().await;
         router.signal(libc::SIGTERM);
-        replaced.ended(&mut router).await;
-        expect_that!(replaced.bench.log_count(TAKEN_OVER), eq(2));
-        let seen = replaced.finish().await;
-        nobody_waited(&seen);
-        all_were_served(&seen);
+        replacement.wait_for_exit(&mut router).await;
+        expect_that!(replacement.bench.log_count(TAKEN_OVER_LOG_TEXT), eq(2));
+        let results = replacement.finish().await;
+        expect_no_slow_connection(&results);
+        expect_all_served(&results);
     };
 
-    /// The router in the middle is killed, so its predecessor does not know that another one has
-    /// the socket: what it did to the socket would hold for that one.
-    router_that_leaves_does_not_spoil_a_socket_that_others_have => async {
-        let (replaced, mut first) = Replaced::start().await;
-        let mut second = replaced.successor().await;
-        let _third = replaced.successor().await;
+    /// The router in the middle is killed, so the first one does not know that a third one holds
+    /// the socket. If it attached a filter to the socket, that would also drop connections to the
+    /// third.
+    stopping_router_does_not_filter_a_socket_that_others_hold => async {
+        let (replacement, mut first) = ReplacementBench::start().await;
+        let mut second = replacement.successor().await;
+        let _third = replacement.successor().await;
         second.kill();
         first.signal(libc::SIGTERM);
-        replaced.ended(&mut first).await;
-        actix_rt::time::sleep(NOTICE).await;
-        nobody_waited(&replaced.finish().await);
+        replacement.wait_for_exit(&mut first).await;
+        actix_rt::time::sleep(SHUTDOWN_LEAD).await;
+        expect_no_slow_connection(&replacement.finish().await);
     };
 
-    /// A frozen router answers nobody, and its successor may not wait for it.
-    successor_of_a_frozen_router_listens_for_itself => async {
+    /// A frozen router does not respond to the handover request, and its successor must not wait
+    /// for it.
+    successor_of_a_frozen_router_opens_its_own_socket => async {
         let mut bench = Bench::start(BenchPlan::default()).await;
         bench.router("ikeja-1").freeze();
         let _successor = bench.start_successor("ikeja-1").await;
-        expect_that!(bench.log_count(TAKEN_OVER), eq(0));
+        expect_that!(bench.log_count(TAKEN_OVER_LOG_TEXT), eq(0));
         bench.router("ikeja-1").thaw();
     };
 }
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -131,7 +131,7 @@
             .unwrap();
         let stderr = String::from_utf8(output.stderr).unwrap();
         expect_that!(output.status.code(), some(eq(2)));
-        expect_that!(stderr, contains_substring("`nowhere` does not stand among `halls`"));
+        expect_that!(stderr, contains_substring("`nowhere` is not listed in `halls`"));
         expect_that!(stderr, contains_substring("the key `listen` is missing"));
         expect_that!(stderr, contains_substring("unknown key `listens`"));
     };
--- a/tests/replacing.rs
+++ b/tests/replacing.rs
@@ -1,4 +1,4 @@
-//! A router's planned stop, as callers see it that keep their connections.
+//! Graceful shutdown and replacement of routers and agents, as seen by their callers.
 
 mod common;
 
@@ -23,21 +23,21 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::TcpStream;
 
-/// How long a router goes on taking connections after the signal to stop.
-const NOTICE: Duration = Duration::from_secs(2);
+/// How long a router goes on accepting connections after `SIGTERM`.
+const SHUTDOWN_LEAD: Duration = Duration::from_secs(2);
 
-/// Threads that connect as fast as they can.
-const CONNECTING_THREADS: usize = 16;
-/// What a caller may wait for a connection, however routers are replaced.
-const LONGEST_CONNECTING: Duration = Duration::from_millis(100);
+/// Number of threads that connect as fast as they can.
+const CONNECT_THREADS: usize = 16;
+/// Maximum time that a caller may need to connect, however routers are replaced.
+const MAX_CONNECT_TIME: Duration = Duration::from_millis(100);
 
-/// A request as a caller writes it.
+/// Raw HTTP/1.1 request for a manifest.
 const MANIFEST_REQUEST: &[u8] =
     b"GET /reader-api/manifest HTTP/1.1\r\nhost: box\r\nauthorization: Bearer comics-key\r\n\r\n";
 
-/// Asks for a model every ten milliseconds until a moment, over a connection that is kept for
-/// as long as the router lets it, and returns the answers.
-async fn ask_on_one_connection(
+/// Sends a model request, ten milliseconds after each answer, until a deadline, over a connection
+/// that is reused for as long as the router allows it, and returns the answers.
+async fn ask_reusing_connection(
     bench: &Bench,
     question: impl Fn() -> Value,
     until: Instant,
@@ -56,7 +56,7 @@
     answers
 }
 
-/// Sends bookmarks, each under a key of its own, through both boxes in turn until a moment.
+/// Sends bookmarks, each with its own idempotency key, through both boxes in turn until a deadline.
 async fn bookmark_until(bench: &Bench, caller: u32, until: Instant) -> Vec<(String, Answer)> {
     let mut answers = Vec::new();
     while Instant::now() < until {
@@ -69,31 +69,32 @@
     answers
 }
 
-/// Starts a server that sends one byte back on each connection.
+/// Starts a server that echoes one byte on each connection.
 fn echo_server(address: SocketAddr) -> HttpServer<Accepting> {
     let listener = listen_shared(address).unwrap();
-    let take = |taken: Taken| {
+    let on_accept = |accepted: Taken| {
         actix_rt::spawn(async move {
-            let mut stream = taken.stream;
+            let mut stream = accepted.stream;
             let mut byte = [0];
             if stream.read_exact(&mut byte).await.is_ok() {
                 let _ = stream.write_all(&byte).await;
             }
-            drop(taken.open);
+            drop(accepted.open);
         });
     };
-    HttpServer::start(listener, Connections::default(), take).unwrap()
+    HttpServer::start(listener, Connections::default(), on_accept).unwrap()
 }
 
-/// Connects again and again, and returns how often it was served and what failed otherwise.
-fn connect_until(address: SocketAddr, is_over: &AtomicBool) -> (usize, Vec<String>) {
+/// Connects again and again, and returns the number of successful exchanges and the errors of the
+/// others.
+fn connect_until(address: SocketAddr, is_stopped: &AtomicBool) -> (usize, Vec<String>) {
     let exchange = || -> std::io::Result<()> {
         let mut stream = std::net::TcpStream::connect(address)?;
         stream.write_all(b"x")?;
         stream.read_exact(&mut [0])
     };
     let (mut served, mut failed) = (0, Vec::new());
-    while !is_over.load(Ordering::Relaxed) {
+    while !is_stopped.load(Ordering::Relaxed) {
         match exchange() {
             Ok(()) => served += 1,
             Err(err) => failed.push(err.to_string()),
@@ -102,26 +103,26 @@
     (served, failed)
 }
 
-fn drain_of_two_seconds() -> BenchPlan {
+fn plan_with_two_second_drain() -> BenchPlan {
     BenchPlan {
         router_extra: "drain_ms = 2000\n".to_owned(),
         ..BenchPlan::default()
     }
 }
 
-/// Requests over h2 that got no answer, by their ids.
+/// Ids of HTTP/2 requests that were not served.
 #[derive(Debug, Default)]
-struct Unanswered {
-    /// The router said by `GOAWAY` that it had not read them.
-    left_unread: Vec<String>,
-    /// Nothing was said of them.
+struct UnservedRequests {
+    /// Requests that the router did not process, according to its `GOAWAY`.
+    not_processed: Vec<String>,
+    /// Requests that failed in any other way, with the error.
     cut: Vec<(String, String)>,
 }
 
-/// Sends a bookmark every ten milliseconds until a moment, over an h2 connection that is kept
-/// for as long as the router lets it.
-async fn bookmark_over_h2(router: SocketAddr, caller: u32, until: Instant) -> Unanswered {
-    let mut unanswered = Unanswered::default();
+/// Sends a bookmark, ten milliseconds after each answer, until a deadline, over an HTTP/2
+/// connection that is reused for as long as the router allows it.
+async fn bookmark_over_http2(router: SocketAddr, caller: u32, until: Instant) -> UnservedRequests {
+    let mut unserved = UnservedRequests::default();
     let mut sender = connect_over_h2(router).await;
     for number in 0.. {
         if Instant::now() >= until {
@@ -129,7 +130,7 @@
         }
         sender = match sender.ready().await {
             Ok(sender) => sender,
-            Err(_left) => {
+            Err(_closed) => {
                 sender = connect_over_h2(router).await;
                 continue;
             }
@@ -144,29 +145,29 @@
         let (response, _) = sent.expect("the sender is ready");
         match response.await {
             Ok(response) if response.status() == http::StatusCode::OK => {}
-            Ok(response) => unanswered.cut.push((id, response.status().to_string())),
-            Err(err) if err.is_go_away() && err.is_remote() => unanswered.left_unread.push(id),
-            Err(err) => unanswered.cut.push((id, err.to_string())),
+            Ok(response) => unserved.cut.push((id, response.status().to_string())),
+            Err(err) if err.is_go_away() && err.is_remote() => unserved.not_processed.push(id),
+            Err(err) => unserved.cut.push((id, err.to_string())),
         }
         actix_rt::time::sleep(Duration::from_millis(10)).await;
     }
-    unanswered
+    unserved
 }
 
-/// Connects again and again until a moment, and returns how long the slowest connection took.
-async fn longest_connecting(router: SocketAddr, until: Instant) -> Duration {
+/// Connects again and again until a deadline, and returns the longest time to connect.
+async fn longest_connect_time(router: SocketAddr, until: Instant) -> Duration {
     let mut longest = Duration::ZERO;
     while Instant::now() < until {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let connection = KeptConnection::open(router).await;
-        longest = longest.max(began.elapsed());
+        longest = longest.max(started_at.elapsed());
         drop(connection);
         actix_rt::time::sleep(Duration::from_millis(5)).await;
     }
     longest
 }
 
-/// Reads manifests one after the other until a moment, each on a connection of its own.
+/// Reads manifests one after the other until a deadline, each on a connection of its own.
 async fn read_manifests_on_new_connections(router: SocketAddr, until: Instant) -> Vec<Reply> {
     let mut replies = Vec::new();
     while Instant::now() < until {
@@ -177,18 +178,17 @@
 }
 
 cases! {
-    /// Of 10,000 requests on kept connections one to five were cut around each third replacement,
-    /// 2.0 s after the signal. A stopping router closed all connections that rested in one moment,
-    /// with requests on their way to some of them, and until then it told no caller that it would:
-    /// none of its answers carried `Connection: close`, so callers came back on the connection
-    /// until the end.
-    kept_connections_are_left_without_a_cut_as_their_router_is_replaced_in_series => async {
+    /// Guards against a stopping router that closes all idle connections at once, 2.0 s after the
+    /// signal, while requests are on their way to some of them. Its answers carried no `Connection:
+    /// close` before, so callers reused their connections until the end. This cut one to five of
+    /// 10,000 requests around every third replacement.
+    requests_on_reused_connections_are_not_cut_by_repeated_router_replacement => async {
         let mut bench = Bench::start(BenchPlan::default()).await;
         let mut router = bench.boxes.get_mut("ikeja-1").unwrap().router.take().unwrap();
         let mut replaced = Vec::new();
         let until = Instant::now() + Duration::from_secs(12);
-        let short = || question("small");
-        let callers = join_all((0..24).map(|_| ask_on_one_connection(&bench, short, until)));
+        let plain_question = || question("small");
+        let callers = join_all((0..24).map(|_| ask_reusing_connection(&bench, plain_question, until)));
         let replacements = async {
             for _ in 0..3 {
                 let successor = bench.start_successor("ikeja-1").await;
@@ -204,22 +204,22 @@
         expect_that!(cut, is_empty(), "of {} answers", answers.len());
     };
 
-    streams_on_kept_connections_of_many_threads_are_not_cut_as_routers_are_replaced => async {
+    streams_on_reused_connections_of_many_threads_are_not_cut_by_router_replacement => async {
         let plan = BenchPlan { router_extra: "workers = 8\n".to_owned(), ..BenchPlan::default() };
         let mut bench = Bench::start(plan).await;
         let steady = Behaviour { tokens: 20, token_ms: 20, ..Behaviour::default() };
         bench.models.iter().for_each(|model| model.stand_in.set("small/s1", steady));
         let mut router = bench.boxes.get_mut("ikeja-1").unwrap().router.take().unwrap();
         let until = Instant::now() + Duration::from_secs(8);
-        let streams = || streamed_question("small");
-        let callers = join_all((0..24).map(|_| ask_on_one_connection(&bench, streams, until)));
+        let streamed = || streamed_question("small");
+        let callers = join_all((0..24).map(|_| ask_reusing_connection(&bench, streamed, until)));
         let replacements = async {
             let mut replaced = Vec::new();
             for _ in 0..2 {
                 let successor = bench.start_successor("ikeja-1").await;
                 router.signal(libc::SIGTERM);
                 replaced.push(std::mem::replace(&mut router, successor));
-                // The next one comes while this one still drains.
+                // The next replacement begins while this router is still draining.
                 actix_rt::time::sleep(Duration::from_millis(1500)).await;
             }
             replaced
@@ -231,48 +231,49 @@
         expect_that!(cut, is_empty(), "of {} answers", answers.len());
     };
 
-    /// A connection on which no request came in the two seconds of notice was closed without a
-    /// word, though the router went on for as long as others had answers under way.
-    connection_that_rests_for_the_whole_notice_is_served_and_then_told_to_leave => async {
+    /// Guards against a router that closes connections without `Connection: close` if they were
+    /// idle for the two seconds after the signal, although it goes on serving requests on others.
+    connection_idle_since_the_signal_is_served_and_then_asked_to_close => async {
         let mut bench = Bench::start(BenchPlan::default()).await;
         let address = bench.boxes["ikeja-1"].files.router;
         let mut kept = KeptConnection::open(address).await;
         expect_that!(kept.read_manifest().await.is_served(), eq(true));
         bench.router("ikeja-1").signal(libc::SIGTERM);
-        actix_rt::time::sleep(NOTICE + Duration::from_millis(500)).await;
+        actix_rt::time::sleep(SHUTDOWN_LEAD + Duration::from_millis(500)).await;
         let reply = kept.read_manifest().await;
         expect_that!(reply.is_served(), eq(true), "{reply:?}");
         expect_that!(matches!(reply, Reply::Answered { closes: true, .. }), eq(true));
         let mut router = bench.boxes.get_mut("ikeja-1").unwrap().router.take().unwrap();
-        bench.wait_for("the router has ended", async || router.ended().is_some()).await;
+        bench.wait_for("the router has exited", async || router.ended().is_some()).await;
         expect_that!(router.ended(), some(eq(true)));
     };
 
-    /// A stopping router knew of requests and not of connections: one that it had taken, with the
-    /// request still on its way, was closed at the end of the notice.
-    connection_taken_before_the_notice_ends_is_served_when_its_request_comes_later => async {
+    /// Guards against a stopping router that tracks requests but not connections, and so closes an
+    /// accepted connection whose request is still on its way.
+    connection_accepted_before_the_listener_closes_is_served_when_its_request_comes_later => async {
         let mut bench = Bench::start(BenchPlan::default()).await;
         let address = bench.boxes["ikeja-1"].files.router;
         bench.router("ikeja-1").signal(libc::SIGTERM);
-        actix_rt::time::sleep(NOTICE - Duration::from_millis(500)).await;
-        let mut taken = KeptConnection::open(address).await;
+        actix_rt::time::sleep(SHUTDOWN_LEAD - Duration::from_millis(500)).await;
+        let mut connection = KeptConnection::open(address).await;
         actix_rt::time::sleep(Duration::from_secs(1)).await;
-        expect_that!(taken.read_manifest().await.is_served(), eq(true));
+        expect_that!(connection.read_manifest().await.is_served(), eq(true));
     };
 
-    request_sent_as_its_resting_connection_is_closed_is_served_or_known_not_to_have_run => async {
+    request_sent_while_its_idle_connection_is_closed_is_served_or_known_not_to_have_run => async {
         const CALLERS: u32 = 400;
-        let mut bench = Bench::start(drain_of_two_seconds()).await;
+        let mut bench = Bench::start(plan_with_two_second_drain()).await;
         let address = bench.boxes["ikeja-1"].files.router;
         let mut kept = join_all((0..CALLERS).map(|_| KeptConnection::open(address))).await;
-        // One after the other, so that no burst makes the only upstream rest.
+        // One after the other, since a burst could make the router eject its only upstream for a
+        // while.
         for kept in &mut kept {
             expect_that!(kept.read_manifest().await.is_served(), eq(true));
         }
         bench.router("ikeja-1").signal(libc::SIGTERM);
-        let first = Instant::now() + NOTICE + Duration::from_millis(500);
+        let first_send = Instant::now() + SHUTDOWN_LEAD + Duration::from_millis(500);
         let ask = async |number: u32, kept: &mut KeptConnection| {
-            let at = first + Duration::from_micros(2500) * number;
+            let at = first_send + Duration::from_micros(2500) * number;
             actix_rt::time::sleep_until(at.into()).await;
             kept.read_manifest().await
         };
@@ -282,14 +283,15 @@
         expect_that!(replies[0].is_served(), eq(true), "{:?}", replies[0]);
     };
 
-    /// However long a router waits, a request may cross the close of its connection. Its caller
-    /// read the end of the connection and could not tell whether the request had run.
-    request_that_crosses_the_close_of_its_connection_is_told_that_it_did_not_run => async {
-        let mut bench = Bench::start(drain_of_two_seconds()).await;
+    /// However long a router waits, a request may be sent just as its connection is closed. Guards
+    /// against a close without a response, from which the caller cannot tell whether the request
+    /// ran.
+    request_that_crosses_the_close_of_its_connection_is_answered_as_not_run => async {
+        let mut bench = Bench::start(plan_with_two_second_drain()).await;
         let mut caller = TcpStream::connect(bench.boxes["ikeja-1"].files.router).await.unwrap();
         bench.router("ikeja-1").signal(libc::SIGTERM);
-        // The caller does not look at what has come before it sends, as if both had been under
-        // way at once.
+        // The caller sends without reading what has arrived, as if both had been sent at the same
+        // time.
         caller.readable().await.unwrap();
         caller.write_all(MANIFEST_REQUEST).await.unwrap();
         let mut reply = String::new();
@@ -298,7 +300,7 @@
         expect_that!(reply.to_lowercase(), contains_substring("gatepier-outcome: not-run\r\n"));
     };
 
-    router_serves_on_when_its_successor_dies_during_the_notice => async {
+    stopping_router_goes_on_serving_when_its_successor_is_killed => async {
         let mut bench = Bench::start(BenchPlan::default()).await;
         let mut router = bench.boxes.get_mut("ikeja-1").unwrap().router.take().unwrap();
         let address = bench.boxes["ikeja-1"].files.router;
@@ -310,69 +312,70 @@
             expect_that!(reply.is_served(), eq(true), "{reply:?}");
         }
         let _next = bench.start_successor("ikeja-1").await;
-        bench.wait_for("the router has ended", async || router.ended().is_some()).await;
+        bench.wait_for("the router has exited", async || router.ended().is_some()).await;
         expect_that!(router.ended(), some(eq(true)));
         let reply = KeptConnection::open(address).await.read_manifest().await;
         expect_that!(reply.is_served(), eq(true), "{reply:?}");
     };
 
-    /// Callers over h2 were cut at the end of the time to finish, in every run with requests on their
-    /// connections: the HTTP library does not send `GOAWAY`, and h2 knows no `Connection: close`, so
-    /// nothing told them to leave. What cut them is said by the failing test: `stream closed because
-    /// of a broken pipe`.
-    callers_over_h2_are_not_cut_as_their_router_is_replaced => async {
-        let mut bench = Bench::start(drain_of_two_seconds()).await;
+    /// Guards against HTTP/2 connections that are cut at the end of the drain timeout (`stream
+    /// closed because of a broken pipe`), as happened in every run with requests on them: the HTTP
+    /// library does not send `GOAWAY`, and HTTP/2 has no `Connection: close`, so callers kept using
+    /// them.
+    http2_requests_are_not_cut_by_router_replacement => async {
+        let mut bench = Bench::start(plan_with_two_second_drain()).await;
         let router = bench.boxes.get_mut("ikeja-1").unwrap().router.take().unwrap();
         let address = bench.boxes["ikeja-1"].files.router;
         let until = Instant::now() + Duration::from_secs(6);
-        let callers = join_all((0..16).map(|caller| bookmark_over_h2(address, caller, until)));
+        let callers = join_all((0..16).map(|caller| bookmark_over_http2(address, caller, until)));
         let replacement = async {
             let successor = bench.start_successor("ikeja-1").await;
             router.signal(libc::SIGTERM);
             for _ in 0..100 {
-                // Callers that are late to read what they are told send on meanwhile.
+                // Delays the callers' reading of `GOAWAY`, so that they go on sending meanwhile.
                 std::thread::sleep(Duration::from_millis(15));
                 actix_rt::time::sleep(Duration::from_millis(1)).await;
             }
             successor
         };
-        let (unanswered, _successor) = futures::join!(callers, replacement);
-        for Unanswered { left_unread, cut } in unanswered {
+        let (unserved, _successor) = futures::join!(callers, replacement);
+        for UnservedRequests { not_processed, cut } in unserved {
             expect_that!(cut, is_empty());
-            // A client that has a request queued while it reads `GOAWAY` may send it yet. It is told
-            // by the protocol that this one was not read, which has to be true.
-            let runs: Vec<usize> = left_unread.iter().map(|id| bench.bookmark_runs(id)).collect();
+            // A client may still send a request that was queued when it read `GOAWAY`. By the
+            // protocol this request counts as not processed, so it must not have run.
+            let runs: Vec<usize> = not_processed.iter().map(|id| bench.bookmark_runs(id)).collect();
             println!("{} requests crossed GOAWAY", runs.len());
-            expect_that!(runs, each(eq(&0)), "{left_unread:?}");
+            expect_that!(runs, each(eq(&0)), "{not_processed:?}");
         }
     };
 
-    /// A successor shares the callers' address from its start, so it gets a part of the callers
-    /// before its agent has told it of a bundle. It refused them: beside busy processes at 3 of 24
-    /// starts, with `not-ready`.
-    request_to_a_router_that_starts_waits_until_it_knows_a_bundle => async {
+    /// A successor shares the callers' address from its start, so it accepts connections before its
+    /// agent has sent it a bundle. Guards against refusals with `not-ready` meanwhile, which
+    /// occurred at 3 of 24 starts beside busy processes.
+    request_to_a_starting_router_waits_for_its_first_bundle => async {
         let mut bench = Bench::start(BenchPlan::default()).await;
         let address = bench.boxes["ikeja-1"].files.router;
         bench.agent("ikeja-1").freeze();
         bench.router("ikeja-1").kill();
         let started = bench.log_count("\"text\":\"started\"");
         let _successor = bench.spawn_router("ikeja-1");
-        bench.wait_for("the successor takes callers", async || {
+        bench.wait_for("the successor accepts connections", async || {
             bench.log_count("\"text\":\"started\"") > started
         }).await;
         let mut caller = KeptConnection::open(address).await;
-        let tell = async {
+        let thaw_agent = async {
             actix_rt::time::sleep(Duration::from_millis(300)).await;
             bench.boxes["ikeja-1"].agent.as_ref().unwrap().thaw();
         };
-        let (reply, ()) = futures::join!(caller.read_manifest(), tell);
+        let (reply, ()) = futures::join!(caller.read_manifest(), thaw_agent);
         expect_that!(reply.is_served(), eq(true), "{reply:?}");
     };
 
-    /// Up to twelve of 15,000 callers that connected as a router left the shared address were cut
-    /// together: those that it had taken and whose requests it had not read, and those that waited
-    /// in the system's queue of its listening socket, which are reset when that is closed.
-    callers_that_connect_anew_are_not_cut_as_their_router_is_replaced => async {
+    /// Guards against cutting callers that connect while a router stops listening on the shared
+    /// address: those whose connection was accepted but whose request was not yet read, and those
+    /// in the accept queue of the listening socket, which the kernel resets when the socket is
+    /// closed. Up to twelve of 15,000 callers were cut together.
+    requests_on_new_connections_are_not_cut_by_router_replacement => async {
         let mut bench = Bench::start(BenchPlan::default()).await;
         let router = bench.boxes.get_mut("ikeja-1").unwrap().router.take().unwrap();
         let address = bench.boxes["ikeja-1"].files.router;
@@ -389,34 +392,35 @@
         expect_that!(cut, is_empty(), "of {} answers", replies.len());
     };
 
-    /// Callers that connect while a router leaves the shared address have their first packet dropped,
-    /// and the system sends it again after a second; one that waits less fails.
-    callers_that_connect_anew_do_not_wait_as_routers_are_replaced_in_series => async {
+    /// A router that stops listening on the shared address drops the first packet (SYN) of new
+    /// connections, which the caller's kernel sends again only after a second. A caller with a
+    /// shorter timeout fails.
+    new_connections_are_not_delayed_by_repeated_router_replacement => async {
         const REPLACEMENTS: usize = 3;
-        const BETWEEN: Duration = Duration::from_millis(3500);
+        const REPLACEMENT_INTERVAL: Duration = Duration::from_millis(3500);
         let mut bench = Bench::start(BenchPlan::default()).await;
         let mut router = bench.boxes.get_mut("ikeja-1").unwrap().router.take().unwrap();
         let address = bench.boxes["ikeja-1"].files.router;
-        let until = Instant::now() + BETWEEN * REPLACEMENTS as u32;
-        let callers = join_all((0..24).map(|_| longest_connecting(address, until)));
+        let until = Instant::now() + REPLACEMENT_INTERVAL * REPLACEMENTS as u32;
+        let callers = join_all((0..24).map(|_| longest_connect_time(address, until)));
         let mut replaced = Vec::new();
         let replacements = async {
             for _ in 0..REPLACEMENTS {
                 let successor = bench.start_successor("ikeja-1").await;
                 router.signal(libc::SIGTERM);
                 replaced.push(std::mem::replace(&mut router, successor));
-                actix_rt::time::sleep(BETWEEN).await;
+                actix_rt::time::sleep(REPLACEMENT_INTERVAL).await;
             }
         };
         let (longest, ()) = futures::join!(callers, replacements);
-        let held_up = longest.iter().filter(|longest| **longest >= LONGEST_CONNECTING);
-        expect_that!(held_up.count(), eq(0), "{longest:?}");
+        let delayed = longest.iter().filter(|longest| **longest >= MAX_CONNECT_TIME);
+        expect_that!(delayed.count(), eq(0), "{longest:?}");
     };
 
-    /// While no agent takes a bill, an answer's end waits for three seconds and then goes out, and its
-    /// router goes on trying. One that was told to stop meanwhile ended with its last connection, and
-    /// the bill was lost with it.
-    bill_that_no_agent_has_taken_yet_keeps_a_stopping_router_alive => async {
+    /// While no agent accepts a bill, the router holds the end of the answer back for three
+    /// seconds, then sends it and goes on retrying. Guards against a stopping router that exits
+    /// with its last connection, and loses a bill that it is still retrying.
+    unacknowledged_bill_keeps_a_stopping_router_alive => async {
         let mut bench = Bench::start(BenchPlan::default()).await;
         let names = ["ikeja-1", "ikeja-2"];
         names.iter().for_each(|name| bench.boxes[*name].agent.as_ref().unwrap().freeze());
@@ -426,16 +430,17 @@
         expect_that!(answer.status, eq(200), "{}", answer.body);
         let mut router = bench.boxes.get_mut("ikeja-1").unwrap().router.take().unwrap();
         router.signal(libc::SIGTERM);
-        actix_rt::time::sleep(NOTICE + Duration::from_secs(1)).await;
+        actix_rt::time::sleep(SHUTDOWN_LEAD + Duration::from_secs(1)).await;
         names.iter().for_each(|name| bench.boxes[*name].agent.as_ref().unwrap().thaw());
-        bench.wait_for("the router has ended", async || router.ended().is_some()).await;
+        bench.wait_for("the router has exited", async || router.ended().is_some()).await;
         expect_that!(router.ended(), some(eq(true)));
         let id = answer.header("gatepier-request-id");
         bench.wait_for("the answer is billed", async || bench.ledger().await.contains_key(id)).await;
     };
 
-    /// What was refused as not run may be asked for again, though an agent took its claim late.
-    request_that_was_refused_while_agents_were_frozen_runs_when_it_comes_again => async {
+    /// A request that was refused as not run may be sent again, even if an agent processed its
+    /// claim late.
+    request_refused_while_agents_were_frozen_runs_when_it_is_retried => async {
         const KEYS: usize = 32;
         let bench = Bench::start(BenchPlan::default()).await;
         let agents = || bench.boxes.values().map(|running| running.agent.as_ref().unwrap());
@@ -451,61 +456,61 @@
             bench.bookmark("ikeja-1", &format!("probe-{probes}")).await.status == 200
         }).await;
         let again = join_all(keys.iter().map(|key| bench.bookmark("ikeja-1", key))).await;
-        let in_doubt: Vec<_> = again.iter().filter(|answer| answer.outcome() == "unknown").collect();
-        expect_that!(in_doubt, is_empty(), "{refused} were refused before");
+        let unknown_outcomes: Vec<_> = again.iter().filter(|answer| answer.outcome() == "unknown").collect();
+        expect_that!(unknown_outcomes, is_empty(), "{refused} were refused before");
     };
 
-    requests_that_may_not_be_repeated_are_not_in_doubt_as_an_agent_is_replaced => async {
+    agent_replacement_leaves_no_unknown_outcome_of_unrepeatable_requests => async {
         let mut bench = Bench::start(BenchPlan::default()).await;
         let until = Instant::now() + Duration::from_secs(6);
         let mut agent = bench.boxes.get_mut("ikeja-1").unwrap().agent.take().unwrap();
         agent.signal(libc::SIGTERM);
         let callers = join_all((0..8).map(|caller| bookmark_until(&bench, caller, until)));
         let replacement = async {
-            bench.wait_for("the agent has ended", async || agent.ended().is_some()).await;
+            bench.wait_for("the agent has exited", async || agent.ended().is_some()).await;
             bench.spawn_agent("ikeja-1")
         };
         let (answers, _successor) = futures::join!(callers, replacement);
         let answers: Vec<(String, Answer)> = answers.into_iter().flatten().collect();
-        let is_in_doubt = |answer: &Answer| answer.status != 200 && answer.outcome() != "not-run";
-        let in_doubt: Vec<_> = answers.iter().filter(|(_, answer)| is_in_doubt(answer)).collect();
-        expect_that!(in_doubt, is_empty(), "of {} answers", answers.len());
+        let has_unknown_outcome = |answer: &Answer| answer.status != 200 && answer.outcome() != "not-run";
+        let unknown_outcomes: Vec<_> = answers.iter().filter(|(_, answer)| has_unknown_outcome(answer)).collect();
+        expect_that!(unknown_outcomes, is_empty(), "of {} answers", answers.len());
         let served = answers.iter().filter(|(_, answer)| answer.status == 200);
         let runs: Vec<usize> = served.map(|(key, _)| bench.bookmark_runs(key)).collect();
         println!("{} of {} served", runs.len(), answers.len());
         expect_that!(runs, each(eq(&1)));
     };
 
-    /// One caller of half a million was reset while it connected, at one of 415 replacements (seed
-    /// 120 of the random ones): the system resets what has come into the queue of a listening socket
-    /// between the look that finds it empty and its close.
-    callers_that_connect_as_servers_hand_their_address_on_are_not_reset => async {
+    /// Guards against resets of connections that enter the accept queue after a server has found it
+    /// empty and before it closes the listening socket. One of half a million callers was reset, at
+    /// one of 415 random replacements (seed 120).
+    callers_that_connect_while_servers_share_their_address_are_not_reset => async {
         const HANDOVERS: usize = 300;
         let address = free_address().unwrap();
         let mut server = echo_server(address);
-        let is_over = Arc::new(AtomicBool::new(false));
-        let callers: Vec<_> = (0..CONNECTING_THREADS)
+        let is_stopped = Arc::new(AtomicBool::new(false));
+        let callers: Vec<_> = (0..CONNECT_THREADS)
             .map(|_| std::thread::spawn({
-                let is_over = is_over.clone();
-                move || connect_until(address, &is_over)
+                let is_stopped = is_stopped.clone();
+                move || connect_until(address, &is_stopped)
             }))
             .collect();
         for _ in 0..HANDOVERS {
             let successor = echo_server(address);
-            let left = server.announce().stop_accepting().await;
-            actix_rt::spawn(left.finish(Duration::from_secs(10)));
+            let draining = server.announce().stop_accepting().await;
+            actix_rt::spawn(draining.finish(Duration::from_secs(10)));
             server = successor;
             actix_rt::time::sleep(Duration::from_millis(5)).await;
         }
-        is_over.store(true, Ordering::Relaxed);
+        is_stopped.store(true, Ordering::Relaxed);
         let mut served = 0;
         for caller in callers {
             let result = actix_rt::task::spawn_blocking(|| caller.join().unwrap()).await;
-            let (of_caller, failed) = result.unwrap();
+            let (caller_served, failed) = result.unwrap();
             expect_that!(failed, is_empty());
-            served += of_caller;
+            served += caller_served;
         }
         println!("{served} served");
-        expect_that!(served, gt(CONNECTING_THREADS));
+        expect_that!(served, gt(CONNECT_THREADS));
     };
 }
--- a/tests/replacing_soak.rs
+++ b/tests/replacing_soak.rs
@@ -1,7 +1,8 @@
-//! Routers that are replaced at random moments while callers of every kind use them.
+//! Replacement of routers and agents at random moments while callers of every kind use them.
 //!
-//! `GATEPIER_REPLACING_SEED`, `GATEPIER_REPLACING_SEEDS` and `GATEPIER_REPLACING_SECONDS` make the
-//! run longer; each seed is printed, and what it found.
+//! `GATEPIER_REPLACING_SEED` sets the first seed, `GATEPIER_REPLACING_SEEDS` the number of seeds
+//! and `GATEPIER_REPLACING_SECONDS` the length of the run with each; the results of each seed are
+//! printed.
 
 mod common;
 
@@ -15,111 +16,117 @@
 use std::time::{Duration, Instant};
 
 const CALLERS: u64 = 32;
-/// What a caller may wait for a connection. The system sends a first packet that was dropped again
+/// Maximum time that a caller may need to connect. The kernel sends a SYN that was dropped again
 /// after a second.
-const LONGEST_CONNECTING: Duration = Duration::from_millis(500);
-/// How often a successor is taken back in place of the router that it was to replace.
-const TAKEN_BACK: f64 = 0.2;
-/// Routers of the box that may drain at a time.
-const MOST_DRAINING: usize = 4;
+const MAX_CONNECT_TIME: Duration = Duration::from_millis(500);
+/// Probability that a successor is stopped instead of the router that it was to replace.
+const SUCCESSOR_STOP_PROBABILITY: f64 = 0.2;
+/// Maximum number of the box's routers that drain at the same time.
+const MAX_DRAINING_ROUTERS: usize = 4;
 
-fn setting(name: &str, default: u64) -> u64 {
+fn env_or(name: &str, default: u64) -> u64 {
     let value = std::env::var(name).ok();
     value.map_or(default, |value| value.parse().unwrap())
 }
 
-/// What a caller asks for.
+/// Kind of requests that a caller sends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Asks {
+enum RequestKind {
     Manifests,
     Bookmarks,
     Streams,
 }
 
-/// One caller: what it asks for, how, and how long it rests between two requests.
+/// Behaviour of a caller: the kind of its requests, whether it reuses its connection, and its
+/// longest pause between two requests.
 #[derive(Debug, Clone, Copy)]
 struct CallerPlan {
     number: u64,
-    asks: Asks,
-    keeps: bool,
-    longest_rest_ms: u64,
+    request_kind: RequestKind,
+    reuses_connection: bool,
+    max_pause_ms: u64,
 }
 
 impl CallerPlan {
     fn draw(number: u64, rng: &mut StdRng) -> Self {
         Self {
             number,
-            asks: [Asks::Manifests, Asks::Bookmarks, Asks::Streams][rng.random_range(0..3)],
-            keeps: rng.random_bool(0.75),
-            longest_rest_ms: [5, 50, 500, 3000][rng.random_range(0..4)],
+            request_kind: [
+                RequestKind::Manifests,
+                RequestKind::Bookmarks,
+                RequestKind::Streams,
+            ][rng.random_range(0..3)],
+            reuses_connection: rng.random_bool(0.75),
+            max_pause_ms: [5, 50, 500, 3000][rng.random_range(0..4)],
         }
     }
 }
 
-/// What a caller saw.
+/// Results of a caller.
 #[derive(Debug, Default)]
-struct Seen {
+struct CallerResult {
     served: usize,
     not_served: Vec<(CallerPlan, Reply)>,
-    longest_connecting: Duration,
+    longest_connect_time: Duration,
 }
 
-impl Seen {
+impl CallerResult {
     async fn connect(&mut self, router: SocketAddr) -> KeptConnection {
-        let began = Instant::now();
+        let started = Instant::now();
         let connection = KeptConnection::open(router).await;
-        self.longest_connecting = self.longest_connecting.max(began.elapsed());
+        self.longest_connect_time = self.longest_connect_time.max(started.elapsed());
         connection
     }
 }
 
-/// Asks until a moment.
-async fn call(router: SocketAddr, plan: CallerPlan, seed: u64, until: Instant) -> Seen {
+/// Sends requests until a deadline.
+async fn call(router: SocketAddr, plan: CallerPlan, seed: u64, until: Instant) -> CallerResult {
     let mut rng = StdRng::seed_from_u64(seed.wrapping_mul(CALLERS) + plan.number);
-    let mut seen = Seen::default();
-    let mut connection = seen.connect(router).await;
+    let mut result = CallerResult::default();
+    let mut connection = result.connect(router).await;
     while Instant::now() < until {
-        let reply = match plan.asks {
-            Asks::Manifests => connection.read_manifest().await,
-            Asks::Bookmarks => {
-                let key = format!("mark-{seed}-{}-{}", plan.number, seen.served);
+        let reply = match plan.request_kind {
+            RequestKind::Manifests => connection.read_manifest().await,
+            RequestKind::Bookmarks => {
+                let key = format!("mark-{seed}-{}-{}", plan.number, result.served);
                 connection.bookmark(&key).await
             }
-            Asks::Streams => connection.stream().await,
+            RequestKind::Streams => connection.stream().await,
         };
-        let leaves = !plan.keeps || !matches!(reply, Reply::Answered { closes: false, .. });
+        let must_reconnect =
+            !plan.reuses_connection || !matches!(reply, Reply::Answered { closes: false, .. });
         match reply.is_served() {
-            true => seen.served += 1,
-            // The connection had ended before: the caller was told to leave with its last answer.
+            true => result.served += 1,
+            // The connection had been closed before: the last answer carried `Connection: close`.
             false if reply == Reply::Unsent => {}
-            false => seen.not_served.push((plan, reply)),
+            false => result.not_served.push((plan, reply)),
         }
-        let rest = rng.random_range(0..=plan.longest_rest_ms);
-        actix_rt::time::sleep(Duration::from_millis(rest)).await;
-        if leaves {
-            connection = seen.connect(router).await;
+        let pause_ms = rng.random_range(0..=plan.max_pause_ms);
+        actix_rt::time::sleep(Duration::from_millis(pause_ms)).await;
+        if must_reconnect {
+            connection = result.connect(router).await;
         }
     }
-    seen
+    result
 }
 
-/// Replaces a box's router at random moments until a moment, and returns the last one and those
-/// that may still drain.
-async fn replace_on(
+/// Replaces a box's router at random intervals until a deadline, and returns the last one and those
+/// that may still be draining.
+async fn replace_routers(
     bench: &Bench,
     first: Process,
     seed: u64,
     rng: &mut StdRng,
     until: Instant,
 ) -> Vec<Process> {
-    let mut which = StdRng::seed_from_u64(seed);
+    let mut target_rng = StdRng::seed_from_u64(seed);
     let mut current = first;
     let mut routers = Vec::new();
     while Instant::now() < until {
-        let pause = rng.random_range(100..2500);
-        actix_rt::time::sleep(Duration::from_millis(pause)).await;
+        let pause_ms = rng.random_range(100..2500);
+        actix_rt::time::sleep(Duration::from_millis(pause_ms)).await;
         let successor = bench.start_successor("ikeja-1").await;
-        let stopped = match which.random_bool(TAKEN_BACK) {
+        let stopped = match target_rng.random_bool(SUCCESSOR_STOP_PROBABILITY) {
             true => successor,
             false => std::mem::replace(&mut current, successor),
         };
@@ -128,7 +135,7 @@
         bench
             .wait_for("routers have drained", async || {
                 routers.retain_mut(|router| router.ended().is_none());
-                routers.len() < MOST_DRAINING
+                routers.len() < MAX_DRAINING_ROUTERS
             })
             .await;
     }
@@ -136,8 +143,9 @@
     routers
 }
 
-/// Replaces a box's agent at random moments until a moment, one life after the other.
-async fn replace_agent_on(
+/// Replaces a box's agent at random intervals until a deadline, each time after the old process has
+/// exited. Returns the last agent and the number of replacements.
+async fn replace_agents(
     bench: &Bench,
     mut agent: Process,
     seed: u64,
@@ -146,25 +154,25 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let mut replaced = 0;
     while Instant::now() < until {
-        let pause = rng.random_range(500..2500);
-        actix_rt::time::sleep(Duration::from_millis(pause)).await;
+        let pause_ms = rng.random_range(500..2500);
+        actix_rt::time::sleep(Duration::from_millis(pause_ms)).await;
         agent.signal(libc::SIGTERM);
-        let has_ended = async || agent.ended().is_some();
-        bench.wait_for("the agent has ended", has_ended).await;
+        let has_exited = async || agent.ended().is_some();
+        bench.wait_for("the agent has exited", has_exited).await;
         agent = bench.spawn_agent("ikeja-1");
         replaced += 1;
     }
     (agent, replaced)
 }
 
-/// What is replaced while callers use a box.
+/// Processes that are replaced while callers use a box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Replaced {
+enum ReplacedProcesses {
     Routers,
     RoutersAndAgents,
 }
 
-async fn replace_at_random(what: Replaced, seed: u64, length: Duration) {
+async fn replace_at_random(processes: ReplacedProcesses, seed: u64, length: Duration) {
     let mut rng = StdRng::seed_from_u64(seed);
     let workers = rng.random_range(1..=8);
     let drain_ms = [8000, 20_000, 60_000][rng.random_range(0..3)];
@@ -181,9 +189,9 @@
     let models = bench.models.iter();
     models.for_each(|model| model.stand_in.set("small/s1", steady));
     let first = bench.boxes.get_mut("ikeja-1").unwrap().router.take();
-    let agent = match what {
-        Replaced::Routers => None,
-        Replaced::RoutersAndAgents => bench.boxes.get_mut("ikeja-1").unwrap().agent.take(),
+    let agent = match processes {
+        ReplacedProcesses::Routers => None,
+        ReplacedProcesses::RoutersAndAgents => bench.boxes.get_mut("ikeja-1").unwrap().agent.take(),
     };
     let address = bench.boxes["ikeja-1"].files.router;
     let until = Instant::now() + length;
@@ -191,17 +199,23 @@
         .map(|n| CallerPlan::draw(n, &mut rng))
         .collect();
     let callers = join_all(plans.iter().map(|plan| call(address, *plan, seed, until)));
-    let replacements = replace_on(&bench, first.unwrap(), seed, &mut rng, until);
+    let replacements = replace_routers(&bench, first.unwrap(), seed, &mut rng, until);
     let agents = async {
         match agent {
-            Some(agent) => Some(replace_agent_on(&bench, agent, seed, until).await),
+            Some(agent) => Some(replace_agents(&bench, agent, seed, until).await),
             None => None,
         }
     };
-    let (seen, _routers, agents) = futures::join!(callers, replacements, agents);
-    let served: usize = seen.iter().map(|seen| seen.served).sum();
-    let longest = seen.iter().map(|seen| seen.longest_connecting).max();
-    let mut not_served: Vec<_> = seen.into_iter().flat_map(|seen| seen.not_served).collect();
+    let (results, _routers, agents) = futures::join!(callers, replacements, agents);
+    let served: usize = results.iter().map(|result| result.served).sum();
+    let longest = results
+        .iter()
+        .map(|result| result.longest_connect_time)
+        .max();
+    let mut not_served: Vec<_> = results
+        .into_iter()
+        .flat_map(|result| result.not_served)
+        .collect();
     let replaced = bench.log_count("\"text\":\"stopping: requests under way are finished\"");
     println!(
         "seed {seed}: {served} served, {} not, {replaced} routers stopped, connecting {longest:?}",
@@ -209,30 +223,31 @@
     );
     if let Some((_agent, replaced)) = agents {
         println!("seed {seed}: {replaced} agents replaced");
-        // While a box has no agent, what may not be repeated is refused.
+        // While a box has no agent, requests that may not be repeated are refused.
         not_served.retain(|(_, reply)| !reply.is_known());
     }
     expect_that!(not_served, is_empty(), "seed {seed}");
-    expect_that!(longest, some(lt(LONGEST_CONNECTING)), "seed {seed}");
-    let dropped = bench.log_lines("a connection is dropped while it is served");
-    expect_that!(dropped, eq(""), "seed {seed}");
+    expect_that!(longest, some(lt(MAX_CONNECT_TIME)), "seed {seed}");
+    let dropped_connections = bench.log_lines("a connection is dropped while it is served");
+    expect_that!(dropped_connections, eq(""), "seed {seed}");
 }
 
-fn replace_with_each_seed(what: Replaced) {
-    let first = setting("GATEPIER_REPLACING_SEED", 1);
-    let length = Duration::from_secs(setting("GATEPIER_REPLACING_SECONDS", 6));
-    for seed in first..first + setting("GATEPIER_REPLACING_SEEDS", 2) {
-        run(replace_at_random(what, seed, length));
+fn replace_with_each_seed(processes: ReplacedProcesses) {
+    let first = env_or("GATEPIER_REPLACING_SEED", 1);
+    let length = Duration::from_secs(env_or("GATEPIER_REPLACING_SECONDS", 6));
+    for seed in first..first + env_or("GATEPIER_REPLACING_SEEDS", 2) {
+        run(replace_at_random(processes, seed, length));
     }
 }
 
 #[googletest::test]
-fn routers_replaced_at_random_cut_and_refuse_nobody() {
-    replace_with_each_seed(Replaced::Routers);
+fn routers_replaced_at_random_cut_and_refuse_no_request() {
+    replace_with_each_seed(ReplacedProcesses::Routers);
 }
 
-/// Agents come and go as well: a caller may be refused, and knows then that nothing ran.
+/// Agents are replaced as well: requests may be refused then, if callers learn that they did not
+/// run.
 #[googletest::test]
-fn routers_and_agents_replaced_at_random_leave_nobody_in_doubt() {
-    replace_with_each_seed(Replaced::RoutersAndAgents);
+fn routers_and_agents_replaced_at_random_leave_no_unknown_outcome() {
+    replace_with_each_seed(ReplacedProcesses::RoutersAndAgents);
 }
--- a/tests/stopping.rs
+++ b/tests/stopping.rs
@@ -1,4 +1,4 @@
-//! A leaving upstream gets nothing new, and a planned stop cuts no request.
+//! Leaving upstreams get no new requests, and a graceful shutdown cuts none.
 
 mod common;
 
@@ -8,11 +8,11 @@
 use googletest::prelude::*;
 use std::time::{Duration, Instant};
 
-/// The seconds after which a leaving upstream must get nothing new.
-const LEAVING_LIMIT: Duration = Duration::from_secs(5);
+/// Time after which a leaving upstream must not get new requests.
+const LEAVING_TIMEOUT: Duration = Duration::from_secs(5);
 
-fn slow_streams(bench: &Bench) {
-    let slow = Behaviour {
+fn set_slow_streams(bench: &Bench) {
+    let slow_behaviour = Behaviour {
         tokens: 60,
         token_ms: 20,
         ..Behaviour::default()
@@ -20,12 +20,12 @@
     bench
         .models
         .iter()
-        .for_each(|model| model.stand_in.set("small/s1", slow));
+        .for_each(|model| model.stand_in.set("small/s1", slow_behaviour));
 }
 
-/// Streams answers through a box until told to stop, each over a connection of its own,
-/// and returns them.
-async fn stream_on(bench: &Bench, name: &str, until: Instant) -> Vec<Answer> {
+/// Streams answers through a box until a deadline, each over a connection of its own, and returns
+/// them.
+async fn stream_until(bench: &Bench, name: &str, until: Instant) -> Vec<Answer> {
     let mut answers = Vec::new();
     while Instant::now() < until {
         let url = format!(
@@ -41,33 +41,34 @@
 }
 
 cases! {
-    leaving_upstream_gets_nothing_new_and_finishes_what_it_has => async {
+    leaving_upstream_gets_no_new_requests_and_finishes_open_ones => async {
         let bench = Bench::start(BenchPlan::default()).await;
-        slow_streams(&bench);
+        set_slow_streams(&bench);
         let until = Instant::now() + Duration::from_secs(4);
-        let streams = futures::future::join_all((0..4).map(|_| stream_on(&bench, "ikeja-1", until)));
+        let streams = futures::future::join_all((0..4).map(|_| stream_until(&bench, "ikeja-1", until)));
         let leave = async {
             actix_rt::time::sleep(Duration::from_millis(500)).await;
             bench.change_list(&ListChange::Leave(bench.models[0].name.clone()));
         };
         let (streams, ()) = futures::join!(streams, leave);
         expect_that!(streams.iter().flatten().all(|answer| answer.whole), eq(true));
-        let left_at = gatepier::clock::Now::read().wall.0 - 3500;
-        let limit = left_at + u64::try_from(LEAVING_LIMIT.as_millis()).unwrap();
+        let left_at_ms = gatepier::clock::Now::read().wall.0 - 3500;
+        let limit_ms = left_at_ms + u64::try_from(LEAVING_TIMEOUT.as_millis()).unwrap();
         let runs = bench.models[0].stand_in.runs();
-        expect_that!(runs.iter().filter(|run| run.at.0 > limit).count(), eq(0));
-        let before = runs.len();
+        expect_that!(runs.iter().filter(|run| run.at.0 > limit_ms).count(), eq(0));
+        let runs_before = runs.len();
         bench.models.iter().for_each(|model| model.stand_in.set("small/s1", Behaviour::default()));
         for _ in 0..20 {
             bench.ask("ikeja-1", "small").await;
         }
-        expect_that!(bench.models[0].stand_in.runs().len(), eq(before));
+        expect_that!(bench.models[0].stand_in.runs().len(), eq(runs_before));
     };
 
-    /// A stopping router ended serving threads that had not yet been told to finish.
-    router_is_replaced_under_load_with_nothing_cut => async {
+    /// Guards against a stopping router that ends a serving thread before the thread has been told
+    /// to drain, which cuts its streams.
+    router_replacement_under_load_cuts_no_stream => async {
         let mut bench = Bench::start(BenchPlan::default()).await;
-        slow_streams(&bench);
+        set_slow_streams(&bench);
         let mut old = bench.boxes.get_mut("ikeja-1").unwrap().router.take().unwrap();
         let until = Instant::now() + Duration::from_secs(6);
         bench.start_router("ikeja-1");
@@ -77,35 +78,35 @@
             }).await;
             old.signal(libc::SIGTERM);
         };
-        let streams = futures::future::join_all((0..8).map(|_| stream_on(&bench, "ikeja-1", until)));
+        let streams = futures::future::join_all((0..8).map(|_| stream_until(&bench, "ikeja-1", until)));
         let (streams, ()) = futures::join!(streams, stop);
         let answers: Vec<&Answer> = streams.iter().flatten().collect();
         let is_cut = |answer: &&&Answer| !answer.whole || answer.status != 200;
         let cut: Vec<_> = answers.iter().filter(is_cut).collect();
-        let stop = bench.log_lines("under_way");
-        expect_that!(cut, is_empty(), "of {} answers, {stop}", answers.len());
-        bench.wait_for("the old router has ended", async || old.ended().is_some()).await;
+        let shutdown_log = bench.log_lines("under_way");
+        expect_that!(cut, is_empty(), "of {} answers, {shutdown_log}", answers.len());
+        bench.wait_for("the old router has exited", async || old.ended().is_some()).await;
         expect_that!(old.ended(), some(eq(true)));
     };
 
-    agent_is_replaced_under_load_with_nothing_cut => async {
+    agent_replacement_under_load_cuts_no_stream => async {
         let mut bench = Bench::start(BenchPlan::default()).await;
-        slow_streams(&bench);
+        set_slow_streams(&bench);
         bench.agent("ikeja-1").signal(libc::SIGTERM);
         let until = Instant::now() + Duration::from_secs(5);
-        let streams = stream_on(&bench, "ikeja-1", until).await;
+        let streams = stream_until(&bench, "ikeja-1", until).await;
         bench.wait_for_end_of_agent("ikeja-1").await;
         bench.start_agent("ikeja-1");
         let files = bench.boxes["ikeja-1"].files.clone();
         bench.wait_router_ready(&files).await;
         let cut = streams.iter().filter(|answer| !answer.whole || answer.status != 200).count();
         expect_that!(cut, eq(0), "of {} answers", streams.len());
-        let ledger_has = async || {
+        let is_billed = async || {
             let ledger = bench.ledger().await;
             let mut ids = streams.iter().map(|answer| answer.header("gatepier-request-id"));
             ids.all(|id| ledger.contains_key(id))
         };
-        bench.wait_for("every answer is billed", ledger_has).await;
+        bench.wait_for("every answer is billed", is_billed).await;
         expect_that!(bench.ledger().await.len(), eq(streams.len()));
     };
 }
--- a/tests/stopping_beside_load.rs
+++ b/tests/stopping_beside_load.rs
@@ -1,4 +1,4 @@
-//! A router's planned stop on a machine that has no processor to spare.
+//! Graceful shutdown of a router while other threads keep all processors busy.
 
 mod common;
 
@@ -10,24 +10,25 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Threads that serve callers, and callers that stream at a time.
+/// Number of threads that serve callers, and of callers that stream concurrently.
 const SERVING_THREADS: usize = 64;
-/// Threads that compete with the router for processors.
+/// Number of threads that compete with the router for processors.
 const BUSY_THREADS: usize = 8;
-/// Longer than the two seconds of a router's notice and a stream that begins at their end.
-const CALLING: Duration = Duration::from_secs(5);
+/// Longer than the two seconds for which a stopping router goes on accepting connections, plus a
+/// stream that begins at their end.
+const CALL_DURATION: Duration = Duration::from_secs(5);
 
-/// Keeps threads busy until it is dropped.
+/// Threads that spin until this is dropped.
 struct BusyThreads(Arc<AtomicBool>);
 
 impl BusyThreads {
     fn start() -> Self {
-        let is_over = Arc::new(AtomicBool::new(false));
+        let is_stopped = Arc::new(AtomicBool::new(false));
         for _ in 0..BUSY_THREADS {
-            let is_over = is_over.clone();
-            std::thread::spawn(move || while !is_over.load(Ordering::Relaxed) {});
+            let is_stopped = is_stopped.clone();
+            std::thread::spawn(move || while !is_stopped.load(Ordering::Relaxed) {});
         }
-        Self(is_over)
+        Self(is_stopped)
     }
 }
 
@@ -37,7 +38,7 @@
     }
 }
 
-/// Streams answers until a moment, each over a connection of its own.
+/// Streams answers until a deadline, each over a connection of its own.
 async fn stream_until(bench: &Bench, until: Instant) -> Vec<Answer> {
     let router = bench.boxes["ikeja-1"].files.router;
     let url = format!("http://{router}/v1/chat/completions");
@@ -50,30 +51,31 @@
     answers
 }
 
-/// Replaces a router whose every thread has streams under way, `after` the successor is ready.
-async fn replace_under_streams(after: Duration) {
+/// Replaces a router while each of its threads serves streams, and signals it `delay` after its
+/// successor is ready.
+async fn replace_under_streams(delay: Duration) {
     let plan = BenchPlan {
         router_extra: format!("workers = {SERVING_THREADS}\n"),
         ..BenchPlan::default()
     };
     let mut bench = Bench::start(plan).await;
-    let slow = Behaviour {
+    let slow_behaviour = Behaviour {
         tokens: 60,
         token_ms: 20,
         ..Behaviour::default()
     };
     let models = bench.models.iter();
-    models.for_each(|model| model.stand_in.set("small/s1", slow));
+    models.for_each(|model| model.stand_in.set("small/s1", slow_behaviour));
     let running = bench.boxes.get_mut("ikeja-1").unwrap();
     let mut old = running.router.take().unwrap();
     let _busy = BusyThreads::start();
-    let until = Instant::now() + CALLING + after;
+    let until = Instant::now() + CALL_DURATION + delay;
     bench.start_router("ikeja-1");
     let stop = async {
         let ready = bench.boxes.len() + 1;
         let is_ready = async || bench.log_count("\"text\":\"ready\"") == ready;
         bench.wait_for("the new router is ready", is_ready).await;
-        actix_rt::time::sleep(after).await;
+        actix_rt::time::sleep(delay).await;
         old.signal(libc::SIGTERM);
     };
     let streams = join_all((0..SERVING_THREADS).map(|_| stream_until(&bench, until)));
@@ -82,19 +84,22 @@
     let is_cut = |answer: &&&Answer| !answer.whole || answer.status != 200;
     let cut: Vec<_> = answers.iter().filter(is_cut).collect();
     expect_that!(cut, is_empty(), "of {} answers", answers.len());
-    let has_ended = async || old.ended().is_some();
-    bench.wait_for("the old router has ended", has_ended).await;
+    let has_exited = async || old.ended().is_some();
+    bench
+        .wait_for("the old router has exited", has_exited)
+        .await;
     expect_that!(old.ended(), some(eq(true)));
-    let dropped = bench.log_lines("a connection is dropped while it is served");
-    expect_that!(dropped, eq(""));
+    let dropped_connections = bench.log_lines("a connection is dropped while it is served");
+    expect_that!(dropped_connections, eq(""));
 }
 
 cases! {
-    /// The stop of a router ended serving threads that had not yet been told to finish.
-    streams_are_whole_as_their_router_is_replaced_beside_busy_threads =>
+    /// Guards against a stopping router that ends a serving thread before the thread has been told
+    /// to drain, which cuts its streams.
+    streams_are_complete_when_their_router_is_replaced_beside_busy_threads =>
         replace_under_streams(Duration::ZERO);
 
-    /// The same, with the streams at other tokens when the router stops to take connections.
-    streams_are_whole_as_their_router_is_replaced_a_little_later_beside_busy_threads =>
+    /// The same, with the streams at other positions when the router stops accepting connections.
+    streams_are_complete_when_their_router_is_replaced_later_beside_busy_threads =>
         replace_under_streams(Duration::from_millis(350));
 }
