--- a/src/gateway/control/store_sync.rs
+++ b/src/gateway/control/store_sync.rs
@@ -205,7 +205,7 @@
 ///
 /// A failed page is retried on its own instead of restarting from the first page: where every third
 /// call was rejected, a read of six pages never completed in one go
-/// (platform/tests/first_reads.rs).
+/// (platform/tests/initial_sync.rs).
 async fn try_read_snapshot(gw: &Gateway, store: &dyn ControlStore, max_failures: u32) -> bool {
     let mut snapshot = SnapshotRead::start(Now::read());
     let mut backoff = Backoff::new();
