--- a/src/agent.rs
+++ b/src/agent.rs
@@ -27,7 +27,7 @@
 use crate::settings::agent::AgentSettings;
 use crate::store::Store;
 use crate::store::etcd::EtcdStore;
-use crate::wire::message::{AgentStatus, ControlRequest, ControlResponse, Report, Update};
+use crate::wire::message::{AgentStatus, ControlRequest, ControlResponse, RouterReport, Update};
 use crate::wire::server::{Handler, serve};
 use crate::wire::tls::FleetTls;
 use futures::future::LocalBoxFuture;
@@ -219,7 +219,7 @@
         }
     }
 
-    fn take_report(self: &Rc<Self>, report: Report) {
+    fn take_report(self: &Rc<Self>, report: RouterReport) {
         let mut records = self.records.borrow_mut();
         for record in report.records {
             records.push(record);
@@ -260,7 +260,7 @@
                 ControlRequest::Replicate(message, view) => {
                     claims::receive(&self, *message, view.as_ref())
                 }
-                ControlRequest::Yield(shard) => shards::take_over_yielded(&self, shard),
+                ControlRequest::HandOverShard(shard) => shards::take_over_yielded(&self, shard),
                 ControlRequest::Report(report) => {
                     self.take_report(report);
                     ControlResponse::Done
--- a/src/agent/claims.rs
+++ b/src/agent/claims.rs
@@ -220,7 +220,7 @@
         attempt,
         finish,
     });
-    ControlResponse::Kept
+    ControlResponse::NotReplicated
 }
 
 async fn place_finish(
--- a/src/agent/drain.rs
+++ b/src/agent/drain.rs
@@ -7,7 +7,7 @@
 use crate::ledger::{SEGMENT_BILLS, Segment};
 use crate::live::AGENT_SERVICE;
 use crate::store::layout::segment_key;
-use crate::store::{StoreResult, WriteOutcome, create_settled};
+use crate::store::{StoreResult, WriteOutcome, create_with_read_back};
 use crate::wire::message::ControlRequest;
 use std::rc::Rc;
 use std::time::Duration;
@@ -91,7 +91,7 @@
             serde_json::to_vec(&open.segment).expect("a segment has only plain fields"),
         )
     };
-    let outcome = create_settled(agent.store.as_ref(), &key, &value).await?;
+    let outcome = create_with_read_back(agent.store.as_ref(), &key, &value).await?;
     agent
         .shared
         .borrow_mut()
--- a/src/agent/gossip.rs
+++ b/src/agent/gossip.rs
@@ -11,7 +11,7 @@
 use crate::claim::view::View;
 use crate::clock::Now;
 use crate::live::{AGENT_SERVICE, ListedBox};
-use crate::wire::message::{ControlRequest, ControlResponse, Newer, Summary};
+use crate::wire::message::{ControlRequest, ControlResponse, NewerState, StateSummary};
 use rand::seq::IndexedRandom as _;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -128,14 +128,14 @@
     let answer = client
         .call(&ControlRequest::Compare(summary), COMPARE_DEADLINE)
         .await;
-    if let Ok(ControlResponse::Newer(newer)) = answer {
+    if let Ok(ControlResponse::NewerState(newer)) = answer {
         agent.peers.note_evidence_sent(address, next);
         absorb(&agent, *newer, address).await;
     }
 }
 
 /// Answers a peer's summary with what is newer here, and asks back if the peer is ahead.
-pub fn answer(agent: &Rc<Agent>, theirs: &Summary) -> ControlResponse {
+pub fn answer(agent: &Rc<Agent>, theirs: &StateSummary) -> ControlResponse {
     let now = Now::read();
     note_summary(agent, theirs, now);
     let shared = agent.shared.borrow();
@@ -150,7 +150,7 @@
     let mut newer = shared.newer_than(theirs);
     let (summary, _) = shared.summary(&agent.me, agent.stopping.get(), u64::MAX, now);
     newer.summary = Some(summary);
-    ControlResponse::Newer(Box::new(newer))
+    ControlResponse::NewerState(Box::new(newer))
 }
 
 async fn ask_back(agent: Rc<Agent>, address: SocketAddr) {
@@ -158,7 +158,7 @@
     agent.comparing.borrow_mut().remove(&address);
 }
 
-fn note_summary(agent: &Rc<Agent>, theirs: &Summary, now: Now) {
+fn note_summary(agent: &Rc<Agent>, theirs: &StateSummary, now: Now) {
     agent.peers.note(&theirs.member, theirs.stopping, now);
     let mut shared = agent.shared.borrow_mut();
     if let Some(age) = theirs.store_age_ms {
@@ -169,7 +169,7 @@
     take_crashes(agent, theirs.crashes.clone());
 }
 
-async fn absorb(agent: &Rc<Agent>, newer: Newer, from: SocketAddr) {
+async fn absorb(agent: &Rc<Agent>, newer: NewerState, from: SocketAddr) {
     if let Some(summary) = &newer.summary {
         note_summary(agent, summary, Now::read());
     }
--- a/src/agent/shards.rs
+++ b/src/agent/shards.rs
@@ -11,7 +11,9 @@
 use crate::claim::view::{Member, Members, ShardId, View};
 use crate::clock::Now;
 use crate::store::layout::view_key;
-use crate::store::{Condition, StoreError, StoreResult, Versioned, WriteOutcome, create_settled};
+use crate::store::{
+    Condition, StoreError, StoreResult, Versioned, WriteOutcome, create_with_read_back,
+};
 use crate::wire::message::{ControlRequest, ControlResponse};
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -130,7 +132,7 @@
         return Ok(());
     }
     let view = View::first(shard.clone(), members, now.wall);
-    match create_settled(agent.store.as_ref(), &key, &to_json(&view)).await? {
+    match create_with_read_back(agent.store.as_ref(), &key, &to_json(&view)).await? {
         WriteOutcome::Written => take_views(agent, &[view]),
         WriteOutcome::Conflict(found) => take_found(agent, found.as_ref()),
     }
@@ -362,7 +364,7 @@
     let witness = view.witness.as_ref();
     let address = witness.and_then(|witness| address_of(agent, &witness.box_name));
     if let Some(address) = address {
-        let request = ControlRequest::Yield(view.shard.clone());
+        let request = ControlRequest::HandOverShard(view.shard.clone());
         if let Err(err) = agent
             .peers
             .client(address)
--- a/src/agent/shared.rs
+++ b/src/agent/shared.rs
@@ -7,7 +7,7 @@
 use crate::evidence::{Evidence, Suspension};
 use crate::live::LiveList;
 use crate::name::VersionName;
-use crate::wire::message::{Newer, Summary};
+use crate::wire::message::{NewerState, StateSummary};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -161,12 +161,12 @@
         stopping: bool,
         evidence_after: u64,
         now: Now,
-    ) -> (Summary, u64) {
+    ) -> (StateSummary, u64) {
         let (evidence, next) = self
             .evidence
             .changed_since(evidence_after, EVIDENCE_CELLS_PER_MESSAGE);
         let store_age = self.store_age(now);
-        let summary = Summary {
+        let summary = StateSummary {
             member: member.clone(),
             generation: self.generation(),
             list_revision: self.list.as_ref().map_or(0, |list| list.revision),
@@ -186,7 +186,7 @@
     }
 
     /// Returns what is known here and not to a peer that sent its summary.
-    pub fn newer_than(&self, theirs: &Summary) -> Newer {
+    pub fn newer_than(&self, theirs: &StateSummary) -> NewerState {
         let entry = self.applied.as_ref();
         let entry = entry.filter(|applied| applied.entry.generation > theirs.generation);
         let list = self
@@ -195,7 +195,7 @@
             .filter(|list| list.revision > theirs.list_revision);
         let views_differ = digest(&self.views) != theirs.views_digest;
         let suspensions_differ = digest(&self.suspensions) != theirs.suspensions_digest;
-        Newer {
+        NewerState {
             summary: None,
             entry: entry.map(|applied| applied.signed.clone()),
             list: list.cloned(),
@@ -213,7 +213,7 @@
     }
 
     /// Tells whether a peer's summary speaks of something that is not known here.
-    pub fn is_behind(&self, theirs: &Summary) -> bool {
+    pub fn is_behind(&self, theirs: &StateSummary) -> bool {
         theirs.generation > self.generation()
             || theirs.list_revision > self.list.as_ref().map_or(0, |list| list.revision)
             || theirs.views_digest != digest(&self.views)
--- a/src/bundle.rs
+++ b/src/bundle.rs
@@ -125,7 +125,7 @@
         document.read(|root| {
             if document.text().len() > BUNDLE_BYTES_LIMIT {
                 let message = format!("a bundle may have {BUNDLE_BYTES_LIMIT} bytes at the most");
-                document.add(0, message);
+                document.add_finding(0, message);
             }
             let partner = root.parsed("partner", NAME_EXPECTED, plain_name);
             let models = named(root.sections("model", read_model));
@@ -165,11 +165,11 @@
 fn read_model(section: &Section<'_>) -> Option<(String, Model)> {
     let name = section.parsed("name", NAME_EXPECTED, plain_name);
     let versions = named(section.sections("version", read_version));
-    let incumbent = section.text("incumbent");
+    let incumbent = section.string("incumbent");
     if let Some(incumbent) = &incumbent
         && !versions.contains_key(incumbent)
     {
-        section.fault(
+        section.add_finding(
             "incumbent",
             format!("the model has no version `{incumbent}`"),
         );
@@ -192,7 +192,7 @@
     if let (Some(enters), Some(leaves)) = (enters, leaves)
         && leaves <= enters
     {
-        section.fault(
+        section.add_finding(
             "leaves",
             format!("the version leaves at {leaves}, before it enters"),
         );
@@ -216,7 +216,7 @@
         models.contains_key(step).then(|| step.to_owned())
     });
     if steps.is_empty() {
-        section.fault("steps", "a cascade needs one step at the least");
+        section.add_finding("steps", "a cascade needs one step at the least");
     }
     let gate = section.parsed("gate", "`inline` or `learn`", |text| match text {
         "inline" => Some(Gate::Inline),
@@ -273,7 +273,7 @@
         let share = section.fraction("share", 0.0)?;
         shares += share;
         if shares > 1.0 + SHARE_TOLERANCE {
-            section.fault("share", "the shares add up to more than the whole");
+            section.add_finding("share", "the shares add up to more than the whole");
         }
         Some((
             name?,
@@ -295,7 +295,7 @@
     };
     let allow = section.parsed_list("allow", VERSION_EXPECTED, VersionName::parse);
     for name in allow.iter().filter(|name| !is_known(name)) {
-        section.fault("allow", format!("the bundle describes no version `{name}`"));
+        section.add_finding("allow", format!("the bundle describes no version `{name}`"));
     }
     allow.into_iter().collect()
 }
@@ -310,7 +310,7 @@
         if !allow.iter().any(|version| version.model == *step) {
             let message =
                 format!("cascade `{name}` steps to `{step}`, of which no version is allowed here");
-            section.fault("cascades", message);
+            section.add_finding("cascades", message);
         }
     }
 }
--- a/src/change_log.rs
+++ b/src/change_log.rs
@@ -8,7 +8,9 @@
 use crate::error::{Error, Result};
 use crate::keys::OperatorKey;
 use crate::store::layout::{bundle_key, change_key, change_prefix, head_key};
-use crate::store::{Condition, Store, StoreError, StoreResult, WriteOutcome, create_settled};
+use crate::store::{
+    Condition, Store, StoreError, StoreResult, WriteOutcome, create_with_read_back,
+};
 
 const AUDIT_PAGE: usize = 200;
 
@@ -105,7 +107,7 @@
         let signed = SignedEntry::sign(entry, key);
         let value = serde_json::to_vec(&signed).expect("a signed entry has only plain fields");
         let store_key = change_key(self.partner, entry.generation);
-        match create_settled(self.store, &store_key, &value).await {
+        match create_with_read_back(self.store, &store_key, &value).await {
             Ok(WriteOutcome::Written) => Ok(()),
             Ok(WriteOutcome::Conflict(found)) => Err(came_between(entry.generation, found)),
             Err(StoreError::Unreachable(reason) | StoreError::Refused(reason)) => {
@@ -133,7 +135,7 @@
 
     /// Stores a bundle's text under its digest; storing it again does no harm.
     pub async fn store_bundle(&self, digest: &str, text: &str) -> Result<()> {
-        match create_settled(self.store, &bundle_key(digest), text.as_bytes()).await {
+        match create_with_read_back(self.store, &bundle_key(digest), text.as_bytes()).await {
             Ok(_) => Ok(()),
             Err(StoreError::Unreachable(reason) | StoreError::Refused(reason)) => {
                 Err(Error::Unreachable(reason))
--- a/src/gateway/admit/listen.rs
+++ b/src/gateway/admit/listen.rs
@@ -8,7 +8,7 @@
 use crate::gateway::Gateway;
 use crate::gateway::control::store::ControlStore;
 use crate::gateway::settings::GatewaySettings;
-use crate::http_server::accept::{Taken, accept};
+use crate::http_server::accept::{AcceptedConnection, accept};
 use crate::http_server::{Accepting, HttpServer};
 use crate::metrics::Metrics;
 use crate::strict_stream::StrictStream;
@@ -86,8 +86,8 @@
     })
 }
 
-async fn serve_connection(gw: Rc<Gateway>, taken: Taken) {
-    let Taken { stream, peer, open } = taken;
+async fn serve_connection(gw: Rc<Gateway>, taken: AcceptedConnection) {
+    let AcceptedConnection { stream, peer, open } = taken;
     prepare(&stream);
     let limits = gw
         .knowledge
@@ -167,7 +167,7 @@
     let began = Now::read();
     gw.stop(began);
     // Connections are taken to the end: there is no successor on the same address.
-    let _announced = server.announce();
+    let _announced = server.announce_shutdown();
     log::info!(in_flight = gw.in_flight(); "stopping: requests under way are finished");
     if let Some(lease) = gw.lease.get()
         && let Err(err) = store.release(lease).await
--- a/src/gateway/admit/serve.rs
+++ b/src/gateway/admit/serve.rs
@@ -38,7 +38,7 @@
         Ok(job) => serve_job(&gw, Rc::new(job)).await,
         Err(why) => refuse(&gw, &request_id, None, why, Ran::Nowhere, received),
     };
-    gw.callers.ask_to_leave(&mut response);
+    gw.callers.add_close_header_if_stopping(&mut response);
     response
 }
 
--- a/src/gateway/peers/fetch.rs
+++ b/src/gateway/peers/fetch.rs
@@ -216,7 +216,7 @@
 ) -> Result<Bytes, WireError> {
     let mut buf = BytesMut::new();
     while let Some(chunk) = with_silence_timeout(body.data()).await? {
-        wire::gather(&mut body, &mut buf, chunk)?;
+        wire::append_chunk(&mut body, &mut buf, chunk)?;
         progress.bytes.set(buf.len());
     }
     Ok(buf.freeze())
--- a/src/http_server.rs
+++ b/src/http_server.rs
@@ -5,13 +5,13 @@
 //! serves them. See `docs/design/stopping.md`.
 
 pub mod accept;
-pub mod ending;
+pub mod connection_close;
 pub mod h2;
 pub mod handover;
-pub mod lent_stream;
+pub mod reclaimable_stream;
 
 use crate::error::{Error, Result};
-use accept::{ListenerRelease, Taken, accept_until_stopped};
+use accept::{AcceptedConnection, ListenerRelease, accept_until_stopped};
 use actix_http::{ConnectionType, Response};
 use std::net::TcpListener;
 use std::time::Duration;
@@ -69,7 +69,7 @@
 
     /// Adds `Connection: close` to a response if the shutdown has been announced, and returns
     /// whether it did.
-    pub fn ask_to_leave<B>(&self, response: &mut Response<B>) -> bool {
+    pub fn add_close_header_if_stopping<B>(&self, response: &mut Response<B>) -> bool {
         let is_stopping = self.shutdown_announced.is_cancelled();
         if is_stopping {
             let head = response.head_mut();
@@ -100,7 +100,7 @@
     pub fn start(
         listener: TcpListener,
         connections: Connections,
-        on_accept: impl FnMut(Taken) + 'static,
+        on_accept: impl FnMut(AcceptedConnection) + 'static,
     ) -> Result<Self> {
         let listener = tokio::net::TcpListener::from_std(listener)
             .map_err(|err| Error::Unreachable(format!("cannot serve callers: {err}")))?;
@@ -115,7 +115,7 @@
     }
 
     /// Asks callers from now on to close their connections.
-    pub fn announce(self) -> HttpServer<ShutdownAnnounced> {
+    pub fn announce_shutdown(self) -> HttpServer<ShutdownAnnounced> {
         self.connections.shutdown_announced.cancel();
         HttpServer {
             connections: self.connections,
@@ -128,12 +128,12 @@
     /// Closes a listening socket that no other process holds, after accepting the connections that
     /// are queued on it.
     pub async fn stop_accepting(self) -> HttpServer<Draining> {
-        self.leave(ListenerRelease::Alone).await
+        self.release_listener(ListenerRelease::Alone).await
     }
 
     /// Stops accepting and closes the listening socket, depending on which other processes may hold
     /// it.
-    pub async fn leave(self, release: ListenerRelease) -> HttpServer<Draining> {
+    pub async fn release_listener(self, release: ListenerRelease) -> HttpServer<Draining> {
         let ShutdownAnnounced(Accepting { task, stop }) = self.stage;
         if stop.send(release).is_err() {
             log::error!("invariant: the accept task ended before the server was stopped");
--- a/src/http_server/accept.rs
+++ b/src/http_server/accept.rs
@@ -30,7 +30,7 @@
 
 /// An accepted connection, which counts as open until `open` is dropped.
 #[derive(Debug)]
-pub struct Taken {
+pub struct AcceptedConnection {
     /// The connection.
     pub stream: TcpStream,
     /// The caller's address.
@@ -58,10 +58,10 @@
     listener: TcpListener,
     stop: oneshot::Receiver<ListenerRelease>,
     connections: Connections,
-    mut on_accept: impl FnMut(Taken),
+    mut on_accept: impl FnMut(AcceptedConnection),
 ) {
     let mut on_accept = |stream, peer| {
-        on_accept(Taken {
+        on_accept(AcceptedConnection {
             stream,
             peer,
             open: connections.track(),
--- a/src/http_server/ending.rs
+++ b/src/http_server/connection_close.rs
@@ -21,13 +21,13 @@
 
 impl CloseHeader {
     /// Returns whether a response has asked the caller to close the connection.
-    pub fn is_given(&self) -> bool {
+    pub fn is_sent(&self) -> bool {
         self.is_sent.get()
     }
 
     /// Adds `Connection: close` to a response if the server is stopping.
-    pub fn give<B>(&self, connections: &Connections, response: &mut Response<B>) {
-        if connections.ask_to_leave(response) {
+    pub fn add_if_stopping<B>(&self, connections: &Connections, response: &mut Response<B>) {
+        if connections.add_close_header_if_stopping(response) {
             self.is_sent.set(true);
         }
     }
@@ -37,7 +37,7 @@
 ///
 /// A caller that was not asked to close the connection may have sent a request that will not be
 /// read. `final_response` tells it so; this holds because no request is read once it is written.
-pub async fn end_connection(
+pub async fn close_connection(
     mut stream: TcpStream,
     final_response: Option<&[u8]>,
 ) -> io::Result<()> {
--- a/src/http_server/handover.rs
+++ b/src/http_server/handover.rs
@@ -35,7 +35,7 @@
 
 /// The callers' listening socket, and the means to hand it over.
 #[derive(Debug)]
-pub struct CallersSocket {
+pub struct CallerListener {
     listener: TcpListener,
     /// Unix socket on which successors request the handover; absent if another router has bound its
     /// name.
@@ -61,7 +61,7 @@
     Gone,
 }
 
-impl CallersSocket {
+impl CallerListener {
     /// Takes the socket of an address over from the router that holds it, or opens a new one.
     pub async fn open(address: SocketAddr) -> Result<Self> {
         match timeout(HANDOVER_TIMEOUT, take_over(address)).await {
@@ -128,7 +128,7 @@
     format!("\0gatepier-router/{address}")
 }
 
-async fn take_over(address: SocketAddr) -> io::Result<CallersSocket> {
+async fn take_over(address: SocketAddr) -> io::Result<CallerListener> {
     let predecessor = UnixStream::connect(request_socket_name(address)).await?;
     check_user(&predecessor)?;
     let receive = || receive_sockets(predecessor.as_fd());
@@ -139,7 +139,7 @@
             "received a socket that does not listen on the address",
         ));
     }
-    Ok(CallersSocket {
+    Ok(CallerListener {
         listener,
         request_listener: Some(UnixListener::from_std(request_listener.into())?),
         predecessor: Some(predecessor),
--- a/src/http_server/lent_stream.rs
+++ b/src/http_server/reclaimable_stream.rs
@@ -1,6 +1,6 @@
 //! A connection that a library serves, and that the caller of the library gets back at the end.
 
-use super::ending::CloseHeader;
+use super::connection_close::CloseHeader;
 use std::cell::RefCell;
 use std::io;
 use std::pin::Pin;
@@ -9,42 +9,42 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A connection that returns to its [`Loan`] when it is dropped. Shutting it down only
+/// A connection that returns to its [`StreamReclaimer`] when it is dropped. Shutting it down only
 /// flushes it, so that a final response can still be written to the reclaimed connection.
 #[derive(Debug)]
-pub struct LentStream {
+pub struct ReclaimableStream {
     /// Present until the stream is dropped.
     stream: Option<TcpStream>,
-    loan: Rc<Loan>,
+    reclaimer: Rc<StreamReclaimer>,
 }
 
-/// Gets the connection of a [`LentStream`] back.
+/// Gets the connection of a [`ReclaimableStream`] back.
 #[derive(Debug, Default)]
-pub struct Loan {
+pub struct StreamReclaimer {
     reclaimed: RefCell<Option<TcpStream>>,
     /// Whether a response has asked the caller to close the connection.
-    pub notice: CloseHeader,
+    pub close_header: CloseHeader,
 }
 
-impl Loan {
-    /// Returns the connection, once the [`LentStream`] has been dropped.
-    pub fn take_back(&self) -> Option<TcpStream> {
+impl StreamReclaimer {
+    /// Returns the connection, once the [`ReclaimableStream`] has been dropped.
+    pub fn reclaim(&self) -> Option<TcpStream> {
         self.reclaimed.borrow_mut().take()
     }
 }
 
-impl LentStream {
+impl ReclaimableStream {
     /// Wraps a connection.
-    pub fn lend(stream: TcpStream) -> Self {
+    pub fn new(stream: TcpStream) -> Self {
         Self {
             stream: Some(stream),
-            loan: Rc::default(),
+            reclaimer: Rc::default(),
         }
     }
 
     /// Returns the handle that gets the connection back.
-    pub fn loan(&self) -> &Rc<Loan> {
-        &self.loan
+    pub fn reclaimer(&self) -> &Rc<StreamReclaimer> {
+        &self.reclaimer
     }
 
     fn inner(self: Pin<&mut Self>) -> io::Result<Pin<&mut TcpStream>> {
@@ -54,13 +54,13 @@
     }
 }
 
-impl Drop for LentStream {
+impl Drop for ReclaimableStream {
     fn drop(&mut self) {
-        *self.loan.reclaimed.borrow_mut() = self.stream.take();
+        *self.reclaimer.reclaimed.borrow_mut() = self.stream.take();
     }
 }
 
-impl AsyncRead for LentStream {
+impl AsyncRead for ReclaimableStream {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -70,7 +70,7 @@
     }
 }
 
-impl AsyncWrite for LentStream {
+impl AsyncWrite for ReclaimableStream {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/src/router.rs
+++ b/src/router.rs
@@ -28,7 +28,7 @@
 
 use crate::clock::Now;
 use crate::error::Result;
-use crate::http_server::handover::CallersSocket;
+use crate::http_server::handover::CallerListener;
 use crate::http_server::{Connections, Draining, HttpServer, wait_until_ended};
 use crate::metrics::Metrics;
 use crate::routing::snapshot::Snapshot;
@@ -72,7 +72,7 @@
     let metrics_server = metrics.serve(shared.settings.metrics)?;
     actix_rt::spawn(link::follow_agents(shared.clone(), metrics.clone()));
     let reports = actix_rt::spawn(link::report_to_agent(shared.clone(), record_queue));
-    let socket = CallersSocket::open(shared.settings.listen).await?;
+    let socket = CallerListener::open(shared.settings.listen).await?;
     let (listener, handover) = socket.offer()?;
     let connections = Connections::default();
     let mut threads = Threads::start(&shared, &connections)?;
@@ -94,10 +94,10 @@
     // The metrics' address is left at once, so that probes are answered by a new router
     // if there is one, and by nobody otherwise.
     metrics_server.stop(false).await;
-    let server = server.announce();
+    let server = server.announce_shutdown();
     sleep(READINESS_LEAD).await;
     let leaving = handover.stop().await;
-    let server = server.leave(leaving).await;
+    let server = server.release_listener(leaving).await;
     log::info!(
         connections = connections.count(),
         leaving:?,
--- a/src/router/agents.rs
+++ b/src/router/agents.rs
@@ -48,7 +48,7 @@
     async fn try_finish(&self, request: &ControlRequest) -> bool {
         match self.call(request, FINISH_DEADLINE).await {
             Ok(ControlResponse::Done) => true,
-            Ok(ControlResponse::Kept) => {
+            Ok(ControlResponse::NotReplicated) => {
                 if let Some(other) = self.other_agent()
                     && let Err(err) = other.call(request, FINISH_DEADLINE).await
                 {
--- a/src/router/link.rs
+++ b/src/router/link.rs
@@ -10,7 +10,7 @@
 use crate::routing::snapshot::Snapshot;
 use crate::wire::WireError;
 use crate::wire::client::WireClient;
-use crate::wire::message::{ControlRequest, Report, Update};
+use crate::wire::message::{ControlRequest, RouterReport, Update};
 use rand::seq::IndexedRandom as _;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -160,7 +160,7 @@
     let mut heard = Now::read().monotonic;
     loop {
         let _ = timeout(REPORT_PERIOD, shared.suspects.changed.notified()).await;
-        let report = Report {
+        let report = RouterReport {
             records: take_records(&mut records).await,
             evidence: shared.evidence_cells(),
             crashes: shared.suspects.records(Now::read()),
--- a/src/router/threads.rs
+++ b/src/router/threads.rs
@@ -6,10 +6,10 @@
 use super::served::{ConnectionEnd, ServedConnection, ThreadCounts};
 use crate::error::{Error, Result};
 use crate::http_server::Connections;
-use crate::http_server::accept::Taken;
-use crate::http_server::ending::end_connection;
+use crate::http_server::accept::AcceptedConnection;
+use crate::http_server::connection_close::close_connection;
 use crate::http_server::h2;
-use crate::http_server::lent_stream::{LentStream, Loan};
+use crate::http_server::reclaimable_stream::{ReclaimableStream, StreamReclaimer};
 use actix_http::error::DispatchError;
 use actix_http::{Extensions, HttpService, Protocol, Request};
 use actix_rt::Arbiter;
@@ -35,7 +35,7 @@
 const MOST_PROBES: u32 = 3;
 
 /// A connection as the HTTP library takes it.
-type Lent = (LentStream, Option<SocketAddr>);
+type Lent = (ReclaimableStream, Option<SocketAddr>);
 
 /// A connection on its way to the thread that serves it.
 struct Handed {
@@ -73,8 +73,8 @@
     }
 
     /// Gives a connection to the next thread.
-    pub fn hand(&mut self, taken: Taken) {
-        let Taken { stream, peer, open } = taken;
+    pub fn hand(&mut self, taken: AcceptedConnection) {
+        let AcceptedConnection { stream, peer, open } = taken;
         let stream = match stream.into_std() {
             Ok(stream) => stream,
             Err(err) => return log::warn!("the connection of {peer} is lost: {err}"),
@@ -140,18 +140,20 @@
         .client_request_timeout(HEAD_TIMEOUT)
         .h1_allow_half_closed(false)
         .graceful_shutdown_signal(move || closing.closing())
-        .on_connect_ext(|stream: &LentStream, extensions: &mut Extensions| {
-            extensions.insert(stream.loan().clone());
+        .on_connect_ext(|stream: &ReclaimableStream, extensions: &mut Extensions| {
+            extensions.insert(stream.reclaimer().clone());
         })
         .h1(move |req: Request| {
-            let loan = req.conn_data::<Rc<Loan>>().cloned();
+            let reclaimer = req.conn_data::<Rc<StreamReclaimer>>().cloned();
             let (worker, connections) = (worker.clone(), connections.clone());
             // Boxed, so that its room is free again once the answer's body begins; a
             // connection keeps the room of the largest unboxed future for good.
             Box::pin(async move {
                 let mut response = entry::serve(worker, req).await;
-                if let Some(loan) = loan {
-                    loan.notice.give(&connections, &mut response);
+                if let Some(reclaimer) = reclaimer {
+                    reclaimer
+                        .close_header
+                        .add_if_stopping(&connections, &mut response);
                 }
                 Ok::<_, Infallible>(response)
             })
@@ -169,7 +171,7 @@
     let detected = tokio::select! {
         protocol = timeout(KEEP_ALIVE, detect_protocol(&stream)) => protocol,
         () = connections.closing() => {
-            end_connection(stream, Some(&closing_answer())).await?;
+            close_connection(stream, Some(&closing_answer())).await?;
             return Ok(ConnectionEnd::ToldUnread);
         }
     };
@@ -183,7 +185,7 @@
         Ok(Ok(_)) => serve_http1(stream, peer, service, connections).await,
         Ok(Err(err)) => Err(err.into()),
         Err(_rested) => {
-            end_connection(stream, None).await?;
+            close_connection(stream, None).await?;
             Ok(ConnectionEnd::Rested)
         }
     }
@@ -205,18 +207,18 @@
     service: &impl Service<Lent, Response = (), Error = DispatchError>,
     connections: &Connections,
 ) -> eyre::Result<ConnectionEnd> {
-    let stream = LentStream::lend(stream);
-    let loan = stream.loan().clone();
+    let stream = ReclaimableStream::new(stream);
+    let reclaimer = stream.reclaimer().clone();
     let served = service.call((stream, Some(peer))).await;
     served.map_err(|err| eyre::eyre!("{err}"))?;
-    let end = match loan.notice.is_given() {
+    let end = match reclaimer.close_header.is_sent() {
         true => ConnectionEnd::AskedToLeave,
         false if connections.is_closing() => ConnectionEnd::ToldUnread,
         false => ConnectionEnd::Rested,
     };
-    if let Some(stream) = loan.take_back() {
+    if let Some(stream) = reclaimer.reclaim() {
         let last_words = (end == ConnectionEnd::ToldUnread).then(closing_answer);
-        end_connection(stream, last_words.as_deref()).await?;
+        close_connection(stream, last_words.as_deref()).await?;
     }
     Ok(end)
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -37,7 +37,7 @@
     if let Some(hall) = &hall
         && !halls.contains(hall)
     {
-        root.fault("hall", format!("`{hall}` is not listed in `halls`"));
+        root.add_finding("hall", format!("`{hall}` is not listed in `halls`"));
     }
     Some(BoxIdentity {
         partner: partner?,
@@ -64,9 +64,9 @@
 /// Reads the `[tls]` table; relative paths are relative to the settings file's folder.
 fn read_tls(root: &Section<'_>, folder: &Path) -> Option<TlsFiles> {
     root.section("tls", |tls| {
-        let authority = tls.text("authority");
-        let certificate = tls.text("certificate");
-        let key = tls.text("key");
+        let authority = tls.string("authority");
+        let certificate = tls.string("certificate");
+        let key = tls.string("key");
         Some(TlsFiles {
             authority: folder.join(authority?),
             certificate: folder.join(certificate?),
--- a/src/settings/agent.rs
+++ b/src/settings/agent.rs
@@ -77,7 +77,7 @@
         Some((name?, key?))
     });
     if operators.is_empty() {
-        root.fault(
+        root.add_finding(
             "operator",
             "at least two operators are required: one to author a bundle and one to sign it off",
         );
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -35,7 +35,7 @@
             let store = read_address(root, "store");
             let agents =
                 root.parsed_list("agents", super::ADDRESS_EXPECTED, |text| text.parse().ok());
-            let key = root.text("key");
+            let key = root.string("key");
             let tls = read_tls(root, parent_folder(file));
             let operators = read_operators(root);
             Some(Self {
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -54,7 +54,7 @@
             }
             Err(err) => {
                 let offset = err.span().map_or(0, |span| span.start);
-                self.add(offset, err.message().to_owned());
+                self.add_finding(offset, err.message().to_owned());
                 None
             }
         };
@@ -66,7 +66,7 @@
     }
 
     /// Adds a finding at a byte offset of the text.
-    pub fn add(&self, offset: usize, message: String) {
+    pub fn add_finding(&self, offset: usize, message: String) {
         self.findings.borrow_mut().push((offset, message));
     }
 
@@ -112,8 +112,9 @@
     }
 
     /// Adds a finding about a key, at its value.
-    pub fn fault(&self, key: &str, message: impl Into<String>) {
-        self.document.add(self.offset_of(key), message.into());
+    pub fn add_finding(&self, key: &str, message: impl Into<String>) {
+        self.document
+            .add_finding(self.offset_of(key), message.into());
     }
 
     fn lookup(&self, key: &'static str) -> Option<&'a Spanned<DeValue<'a>>> {
@@ -128,7 +129,7 @@
 
     fn report_missing<T>(&self, key: &str) -> Option<T> {
         self.document
-            .add(self.span.start, format!("the key `{key}` is missing"));
+            .add_finding(self.span.start, format!("the key `{key}` is missing"));
         None
     }
 
@@ -142,7 +143,7 @@
     }
 
     /// Reads a required string.
-    pub fn text(&self, key: &'static str) -> Option<String> {
+    pub fn string(&self, key: &'static str) -> Option<String> {
         if !self.has(key) {
             return self.report_missing(key);
         }
@@ -156,10 +157,10 @@
         expected: &str,
         parse: impl FnOnce(&str) -> Option<T>,
     ) -> Option<T> {
-        let text = self.text(key)?;
+        let text = self.string(key)?;
         let value = parse(&text);
         if value.is_none() {
-            self.fault(key, format!("`{key}` is `{text}`, expected {expected}"));
+            self.add_finding(key, format!("`{key}` is `{text}`, expected {expected}"));
         }
         value
     }
@@ -192,7 +193,7 @@
         let number = number.filter(|number| bounds.contains(number));
         if number.is_none() {
             let (min, max) = (bounds.start, bounds.end - 1);
-            self.fault(key, format!("`{key}` must be between {min} and {max}"));
+            self.add_finding(key, format!("`{key}` must be between {min} and {max}"));
         }
         number
     }
@@ -220,7 +221,7 @@
         };
         let number = number.filter(|number| (0.0..=1.0).contains(number));
         if number.is_none() {
-            self.fault(key, format!("`{key}` must be between 0 and 1"));
+            self.add_finding(key, format!("`{key}` must be between 0 and 1"));
         }
         number
     }
@@ -270,7 +271,7 @@
                 Some(value) => values.push(value),
                 None => {
                     self.document
-                        .add(offset, format!("`{text}` is invalid, expected {expected}"));
+                        .add_finding(offset, format!("`{text}` is invalid, expected {expected}"));
                 }
             }
         }
@@ -349,7 +350,7 @@
     ) -> Option<T> {
         let found = value.get_ref().type_str();
         let message = format!("`{key}` must be {expected}, found {found}");
-        self.document.add(value.span().start, message);
+        self.document.add_finding(value.span().start, message);
         None
     }
 
@@ -361,7 +362,7 @@
                 .contains(key.get_ref().as_ref())
             {
                 self.document
-                    .add(key.span().start, format!("unknown key `{}`", key.get_ref()));
+                    .add_finding(key.span().start, format!("unknown key `{}`", key.get_ref()));
             }
         }
     }
--- a/src/store.rs
+++ b/src/store.rs
@@ -129,7 +129,7 @@
 ///
 /// Returns [`WriteOutcome::Written`] if the key then holds this value, and otherwise the value that
 /// was there first. Values must be unique to their writer, by a random id in them.
-pub async fn create_settled(
+pub async fn create_with_read_back(
     store: &dyn Store,
     key: &str,
     value: &[u8],
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -109,13 +109,13 @@
 pub(crate) async fn read_body(body: &mut h2::RecvStream) -> Result<Bytes, WireError> {
     let mut buf = BytesMut::new();
     while let Some(chunk) = body.data().await {
-        gather(body, &mut buf, chunk)?;
+        append_chunk(body, &mut buf, chunk)?;
     }
     Ok(buf.freeze())
 }
 
 /// Appends a chunk of a body to a buffer, and releases its flow-control window.
-pub(crate) fn gather(
+pub(crate) fn append_chunk(
     body: &mut h2::RecvStream,
     buf: &mut BytesMut,
     chunk: Result<Bytes, h2::Error>,
--- a/src/wire/message.rs
+++ b/src/wire/message.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum ControlRequest {
     /// Another agent sends a summary of its state, to compare the two.
-    Compare(Summary),
+    Compare(StateSummary),
     /// Another agent asks for a bundle's text by its digest.
     FetchBundle(String),
     /// An attempt claims a key.
@@ -51,9 +51,9 @@
     /// if the witness may not know it.
     Replicate(Box<ReplicaMessage>, Option<View>),
     /// A shard's owner is about to stop and asks its witness to take the shard over.
-    Yield(ShardId),
+    HandOverShard(ShardId),
     /// A router reports its decisions and their results.
-    Report(Report),
+    Report(RouterReport),
     /// The command line asks for the decisions about a request, by its id.
     Explain(String),
     /// The command line asks for the agent's status.
@@ -66,9 +66,9 @@
     /// The call was carried out.
     Done,
     /// The end of a request is stored on this agent only; a second agent should store it too.
-    Kept,
+    NotReplicated,
     /// The parts of the agent's state that are newer than the caller's.
-    Newer(Box<Newer>),
+    NewerState(Box<NewerState>),
     /// A bundle's text, if the agent has it.
     Bundle(Option<String>),
     /// The result of a claim.
@@ -85,7 +85,7 @@
 
 /// Compact summary of an agent's state, so that agents can compare theirs every second.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Summary {
+pub struct StateSummary {
     /// The agent.
     pub member: Member,
     /// The generation of the change log that it has.
@@ -109,9 +109,9 @@
 /// The parts of one agent's state that are newer than another's. The receiver keeps the newer
 /// version of each part, so duplicates and delays do no harm.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct Newer {
+pub struct NewerState {
     /// Summary of the responding agent's state, if it includes one.
-    pub summary: Option<Summary>,
+    pub summary: Option<StateSummary>,
     /// Newest entry of the change log.
     pub entry: Option<SignedEntry>,
     /// The live list.
@@ -124,7 +124,7 @@
 
 /// Batched report of a router to its agent.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct RouterReport {
     /// Decision records for `gatepier explain`.
     pub records: Vec<DecisionRecord>,
     /// Evidence about versions, as sums since the router started.
--- a/tests/replacing.rs
+++ b/tests/replacing.rs
@@ -9,7 +9,7 @@
 use futures::future::join_all;
 use gatepier::daemon::listen_shared;
 use gatepier::http_client::{fresh_client, reusing_client};
-use gatepier::http_server::accept::Taken;
+use gatepier::http_server::accept::AcceptedConnection;
 use gatepier::http_server::{Accepting, Connections, HttpServer};
 use gatepier::lab::fleet::free_address;
 use gatepier::lab::model::Behaviour;
@@ -72,7 +72,7 @@
 /// Starts a server that echoes one byte on each connection.
 fn echo_server(address: SocketAddr) -> HttpServer<Accepting> {
     let listener = listen_shared(address).unwrap();
-    let on_accept = |accepted: Taken| {
+    let on_accept = |accepted: AcceptedConnection| {
         actix_rt::spawn(async move {
             let mut stream = accepted.stream;
             let mut byte = [0];
@@ -497,7 +497,7 @@
             .collect();
         for _ in 0..HANDOVERS {
             let successor = echo_server(address);
-            let draining = server.announce().stop_accepting().await;
+            let draining = server.announce_shutdown().stop_accepting().await;
             actix_rt::spawn(draining.finish(Duration::from_secs(10)));
             server = successor;
             actix_rt::time::sleep(Duration::from_millis(5)).await;
