--- a/src/agent/claims.rs
+++ b/src/agent/claims.rs
@@ -233,7 +233,7 @@
             attempt,
             finish,
         });
-    ControlResponse::Kept
+    ControlResponse::NotReplicated
 }
 
 async fn submit_finish(
--- a/src/agent/gossip.rs
+++ b/src/agent/gossip.rs
@@ -11,7 +11,7 @@
 use crate::box_list::{AGENT_SERVICE, ListedBox};
 use crate::claim::view::View;
 use crate::clock::Now;
-use crate::wire::message::{ControlRequest, ControlResponse, Newer, Summary};
+use crate::wire::message::{ControlRequest, ControlResponse, NewerState, StateSummary};
 use rand::seq::IndexedRandom as _;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -129,7 +129,7 @@
     let answer = client
         .call(&ControlRequest::Compare(summary), GOSSIP_DEADLINE)
         .await;
-    if let Ok(ControlResponse::Newer(newer)) = answer {
+    if let Ok(ControlResponse::NewerState(newer)) = answer {
         agent.peers.record_evidence_sent(address, next);
         merge_newer(&agent, *newer, address).await;
     }
@@ -137,7 +137,7 @@
 
 /// Responds to a peer's summary with what is newer here, and starts an exchange with the peer if it
 /// has newer state.
-pub fn answer_summary(agent: &Rc<Agent>, theirs: &Summary) -> ControlResponse {
+pub fn answer_summary(agent: &Rc<Agent>, theirs: &StateSummary) -> ControlResponse {
     let now = Now::read();
     record_summary(agent, theirs, now);
     let state = agent.state.borrow();
@@ -152,7 +152,7 @@
     let mut newer = state.newer_than(theirs);
     let (summary, _) = state.summary(&agent.member, agent.stopping.get(), u64::MAX, now);
     newer.summary = Some(summary);
-    ControlResponse::Newer(Box::new(newer))
+    ControlResponse::NewerState(Box::new(newer))
 }
 
 async fn pull_from(agent: Rc<Agent>, address: SocketAddr) {
@@ -160,7 +160,7 @@
     agent.pulls_in_progress.borrow_mut().remove(&address);
 }
 
-fn record_summary(agent: &Rc<Agent>, theirs: &Summary, now: Now) {
+fn record_summary(agent: &Rc<Agent>, theirs: &StateSummary, now: Now) {
     agent
         .peers
         .record_contact(&theirs.member, theirs.stopping, now);
@@ -173,7 +173,7 @@
     merge_crash_records(agent, theirs.crashes.clone());
 }
 
-async fn merge_newer(agent: &Rc<Agent>, newer: Newer, from: SocketAddr) {
+async fn merge_newer(agent: &Rc<Agent>, newer: NewerState, from: SocketAddr) {
     if let Some(summary) = &newer.summary {
         record_summary(agent, summary, Now::read());
     }
--- a/src/agent/gossip_state.rs
+++ b/src/agent/gossip_state.rs
@@ -8,7 +8,7 @@
 use crate::crash_ledger::{CrashLedger, CrashRecord};
 use crate::evidence::{Evidence, Suspension};
 use crate::name::VersionName;
-use crate::wire::message::{Newer, Summary};
+use crate::wire::message::{NewerState, StateSummary};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -164,12 +164,12 @@
         stopping: bool,
         evidence_after: u64,
         now: Now,
-    ) -> (Summary, u64) {
+    ) -> (StateSummary, u64) {
         let (evidence, next) = self
             .evidence
             .changed_since(evidence_after, EVIDENCE_CELLS_PER_MESSAGE);
         let store_age = self.store_age(now);
-        let summary = Summary {
+        let summary = StateSummary {
             member: member.clone(),
             generation: self.generation(),
             list_revision: self.list.as_ref().map_or(0, |list| list.revision),
@@ -189,7 +189,7 @@
     }
 
     /// Returns the state that is newer here than in a peer's summary.
-    pub fn newer_than(&self, theirs: &Summary) -> Newer {
+    pub fn newer_than(&self, theirs: &StateSummary) -> NewerState {
         let entry = self.applied.as_ref();
         let entry = entry.filter(|applied| applied.entry.generation > theirs.generation);
         let list = self
@@ -198,7 +198,7 @@
             .filter(|list| list.revision > theirs.list_revision);
         let views_differ = digest(&self.views) != theirs.views_digest;
         let suspensions_differ = digest(&self.suspensions) != theirs.suspensions_digest;
-        Newer {
+        NewerState {
             summary: None,
             entry: entry.map(|applied| applied.signed.clone()),
             list: list.cloned(),
@@ -216,7 +216,7 @@
     }
 
     /// Returns whether a peer's summary differs from this state in anything that may be newer there.
-    pub fn is_behind(&self, theirs: &Summary) -> bool {
+    pub fn is_behind(&self, theirs: &StateSummary) -> bool {
         theirs.generation > self.generation()
             || theirs.list_revision > self.list.as_ref().map_or(0, |list| list.revision)
             || theirs.views_digest != digest(&self.views)
--- a/src/gateway/admit/listen.rs
+++ b/src/gateway/admit/listen.rs
@@ -10,7 +10,7 @@
 use crate::gateway::Gateway;
 use crate::gateway::control::store::ControlStore;
 use crate::gateway::settings::GatewaySettings;
-use crate::http_server::accept::{Taken, accept};
+use crate::http_server::accept::{AcceptedConnection, accept};
 use crate::http_server::{Accepting, HttpServer};
 use crate::metrics::Metrics;
 use actix_http::{HttpService, Request, Response, StatusCode};
@@ -87,8 +87,8 @@
     })
 }
 
-async fn serve_connection(gw: Rc<Gateway>, accepted: Taken) {
-    let Taken { stream, peer, open } = accepted;
+async fn serve_connection(gw: Rc<Gateway>, accepted: AcceptedConnection) {
+    let AcceptedConnection { stream, peer, open } = accepted;
     set_socket_options(&stream);
     let limits = gw
         .knowledge
@@ -167,7 +167,7 @@
     let drain_start = Now::read();
     gw.begin_stopping(drain_start);
     // Connections are accepted to the end: no successor process listens on the same address.
-    let _announced = server.announce();
+    let _announced = server.announce_shutdown();
     log::info!(in_flight = gw.in_flight(); "stopping: finishing the requests in flight");
     if let Some(lease) = gw.lease.get()
         && let Err(err) = store.release(lease).await
--- a/src/gateway/admit/serve.rs
+++ b/src/gateway/admit/serve.rs
@@ -39,7 +39,8 @@
         Ok(request) => serve_admitted(&gw, Rc::new(request)).await,
         Err(reason) => refuse(&gw, &request_id, None, reason, Execution::Never, received),
     };
-    gw.caller_connections.ask_to_leave(&mut response);
+    gw.caller_connections
+        .add_close_header_if_stopping(&mut response);
     response
 }
 
--- a/src/router/agent_client.rs
+++ b/src/router/agent_client.rs
@@ -49,7 +49,7 @@
     async fn send_finish(&self, request: &ControlRequest) -> bool {
         match self.call(request, FINISH_TIMEOUT).await {
             Ok(ControlResponse::Done) => true,
-            Ok(ControlResponse::Kept) => {
+            Ok(ControlResponse::NotReplicated) => {
                 if let Some(other_client) = self.choose_other_agent()
                     && let Err(err) = other_client.call(request, FINISH_TIMEOUT).await
                 {
--- a/src/router/agent_link.rs
+++ b/src/router/agent_link.rs
@@ -10,7 +10,7 @@
 use crate::routing::snapshot::Snapshot;
 use crate::wire::WireError;
 use crate::wire::client::WireClient;
-use crate::wire::message::{ControlRequest, Report, Update};
+use crate::wire::message::{ControlRequest, RouterReport, Update};
 use rand::seq::IndexedRandom as _;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -167,7 +167,7 @@
     let mut last_accepted = Now::read().monotonic;
     loop {
         let _ = timeout(REPORT_INTERVAL, shared.crash_suspects.changed.notified()).await;
-        let report = Report {
+        let report = RouterReport {
             records: drain_records(&mut records).await,
             evidence: shared.evidence_cells(),
             crashes: shared.crash_suspects.report_records(Now::read()),
--- a/src/router/worker_threads.rs
+++ b/src/router/worker_threads.rs
@@ -6,10 +6,10 @@
 use super::responses::connection_closing_response;
 use crate::error::{Error, Result};
 use crate::http_server::Connections;
-use crate::http_server::accept::Taken;
-use crate::http_server::ending::end_connection;
+use crate::http_server::accept::AcceptedConnection;
+use crate::http_server::connection_close::close_connection;
 use crate::http_server::h2;
-use crate::http_server::lent_stream::{LentStream, Loan};
+use crate::http_server::reclaimable_stream::{ReclaimableStream, StreamReclaimer};
 use actix_http::error::DispatchError;
 use actix_http::{Extensions, HttpService, Protocol, Request};
 use actix_rt::Arbiter;
@@ -36,7 +36,7 @@
 const MAX_TCP_PROBES: u32 = 3;
 
 /// A connection in the form that the HTTP library takes.
-type Http1Connection = (LentStream, Option<SocketAddr>);
+type Http1Connection = (ReclaimableStream, Option<SocketAddr>);
 
 /// A connection that is queued for its thread.
 struct AssignedConnection {
@@ -74,8 +74,8 @@
     }
 
     /// Assigns a connection to the next thread.
-    pub fn assign(&mut self, accepted: Taken) {
-        let Taken { stream, peer, open } = accepted;
+    pub fn assign(&mut self, accepted: AcceptedConnection) {
+        let AcceptedConnection { stream, peer, open } = accepted;
         let stream = match stream.into_std() {
             Ok(stream) => stream,
             Err(err) => return log::warn!("the connection of {peer} was lost: {err}"),
@@ -145,18 +145,20 @@
         .client_request_timeout(REQUEST_HEAD_TIMEOUT)
         .h1_allow_half_closed(false)
         .graceful_shutdown_signal(move || closing.closing())
-        .on_connect_ext(|stream: &LentStream, extensions: &mut Extensions| {
-            extensions.insert(stream.loan().clone());
+        .on_connect_ext(|stream: &ReclaimableStream, extensions: &mut Extensions| {
+            extensions.insert(stream.reclaimer().clone());
         })
         .h1(move |req: Request| {
-            let loan = req.conn_data::<Rc<Loan>>().cloned();
+            let reclaimer = req.conn_data::<Rc<StreamReclaimer>>().cloned();
             let (worker, connections) = (worker.clone(), connections.clone());
             // Boxed, so that its memory is freed once the body of the response starts; a connection
             // keeps the memory of the largest unboxed future until it ends.
             Box::pin(async move {
                 let mut response = handle_request(worker, req).await;
-                if let Some(loan) = loan {
-                    loan.notice.give(&connections, &mut response);
+                if let Some(reclaimer) = reclaimer {
+                    reclaimer
+                        .close_header
+                        .add_if_stopping(&connections, &mut response);
                 }
                 Ok::<_, Infallible>(response)
             })
@@ -174,7 +176,7 @@
     let detected = tokio::select! {
         protocol = timeout(KEEP_ALIVE_TIMEOUT, detect_protocol(&stream)) => protocol,
         () = connections.closing() => {
-            end_connection(stream, Some(&connection_closing_response())).await?;
+            close_connection(stream, Some(&connection_closing_response())).await?;
             return Ok(ConnectionEnd::UnreadReported);
         }
     };
@@ -188,7 +190,7 @@
         Ok(Ok(_)) => serve_http1(stream, peer, service, connections).await,
         Ok(Err(err)) => Err(err.into()),
         Err(_elapsed) => {
-            end_connection(stream, None).await?;
+            close_connection(stream, None).await?;
             Ok(ConnectionEnd::Idle)
         }
     }
@@ -211,19 +213,19 @@
     service: &impl Service<Http1Connection, Response = (), Error = DispatchError>,
     connections: &Connections,
 ) -> eyre::Result<ConnectionEnd> {
-    let stream = LentStream::lend(stream);
-    let loan = stream.loan().clone();
+    let stream = ReclaimableStream::new(stream);
+    let reclaimer = stream.reclaimer().clone();
     let served = service.call((stream, Some(peer))).await;
     served.map_err(|err| eyre::eyre!("{err}"))?;
-    let end = match loan.notice.is_given() {
+    let end = match reclaimer.close_header.is_sent() {
         true => ConnectionEnd::CloseAnnounced,
         false if connections.is_closing() => ConnectionEnd::UnreadReported,
         false => ConnectionEnd::Idle,
     };
-    if let Some(stream) = loan.take_back() {
+    if let Some(stream) = reclaimer.reclaim() {
         let closing_response =
             (end == ConnectionEnd::UnreadReported).then(connection_closing_response);
-        end_connection(stream, closing_response.as_deref()).await?;
+        close_connection(stream, closing_response.as_deref()).await?;
     }
     Ok(end)
 }
