--- a/src/demo.rs
+++ b/src/demo.rs
@@ -188,7 +188,7 @@
     let links = [format!("store:{hall}"), format!("list:{hall}")];
     links
         .iter()
-        .for_each(|link| stage.proxy.set(link, LinkMode::Silent));
+        .for_each(|link| stage.proxy.set(link, LinkMode::Stalled));
     progress(
         start,
         &format!("{}: hall {hall} is cut off from the store", partner.name()),
--- a/src/demo/stage.rs
+++ b/src/demo/stage.rs
@@ -4,7 +4,7 @@
 use crate::clock::{Now, WallTime};
 use crate::error::{Error, Result};
 use crate::lab::fleet::{Fleet, FleetBox, FleetPlan, Wiring};
-use crate::lab::model::{Behaviour, ModelStandIn};
+use crate::lab::model::{ModelBehaviour, ModelStandIn};
 use crate::lab::platform::{ListChange, PlatformStandIn};
 use crate::lab::proxy::Proxy;
 use crate::lab::server;
@@ -194,11 +194,11 @@
         for number in 1..=MODELS_PER_HALL {
             let stand_in = Arc::new(ModelStandIn::default());
             for version in &casting.versions[..2] {
-                stand_in.set(
+                stand_in.set_behaviour(
                     version,
-                    Behaviour {
+                    ModelBehaviour {
                         quality: CHEAP_QUALITY,
-                        ..Behaviour::default()
+                        ..ModelBehaviour::default()
                     },
                 );
             }
--- a/src/lab/model.rs
+++ b/src/lab/model.rs
@@ -14,7 +14,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 /// What an answer of bad quality contains, so that the rater's stand-in knows it.
-pub const BAD_MARK: &str = "~bad~";
+pub const BAD_ANSWER_MARKER: &str = "~bad~";
 const GOOD_MARK: &str = "~good~";
 const PROMPT_TOKENS: u64 = 8;
 
@@ -25,7 +25,7 @@
 /// How one version behaves.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Behaviour {
+pub struct ModelBehaviour {
     /// The part of answers that are good.
     pub quality: f64,
     /// The part of requests that fail with a status of 500.
@@ -42,7 +42,7 @@
     pub crossed: bool,
 }
 
-impl Default for Behaviour {
+impl Default for ModelBehaviour {
     fn default() -> Self {
         Self {
             quality: 1.0,
@@ -77,13 +77,13 @@
 /// The stand-in.
 #[derive(Debug, Default)]
 pub struct ModelStandIn {
-    behaviours: Mutex<BTreeMap<String, Behaviour>>,
+    behaviours: Mutex<BTreeMap<String, ModelBehaviour>>,
     runs: Mutex<Vec<Run>>,
 }
 
 impl ModelStandIn {
     /// Sets how a version behaves.
-    pub fn set(&self, version: &str, behaviour: Behaviour) {
+    pub fn set_behaviour(&self, version: &str, behaviour: ModelBehaviour) {
         let mut behaviours = self
             .behaviours
             .lock()
@@ -99,7 +99,7 @@
             .clone()
     }
 
-    fn behaviour_of(&self, version: &str) -> Behaviour {
+    fn behaviour_of(&self, version: &str) -> ModelBehaviour {
         let behaviours = self
             .behaviours
             .lock()
@@ -144,7 +144,7 @@
                 id
             },
             version,
-            mark: if good { GOOD_MARK } else { BAD_MARK },
+            mark: if good { GOOD_MARK } else { BAD_ANSWER_MARKER },
             tokens: behaviour.tokens,
         };
         if question["stream"].as_bool() == Some(true) {
@@ -162,7 +162,7 @@
     fn stream(
         self: Arc<Self>,
         answer: Answer,
-        behaviour: Behaviour,
+        behaviour: ModelBehaviour,
         breaks: bool,
         position: usize,
     ) -> Response<BoxBody> {
@@ -282,9 +282,9 @@
                 "/lab/runs" => json(&self.runs()),
                 "/lab/behaviours" => match serde_json::from_slice(&body) {
                     Ok(behaviours) => {
-                        let behaviours: BTreeMap<String, Behaviour> = behaviours;
+                        let behaviours: BTreeMap<String, ModelBehaviour> = behaviours;
                         for (version, behaviour) in behaviours {
-                            self.set(&version, behaviour);
+                            self.set_behaviour(&version, behaviour);
                         }
                         text(StatusCode::OK, "done")
                     }
--- a/src/lab/platform.rs
+++ b/src/lab/platform.rs
@@ -1,6 +1,6 @@
 //! Stand-ins for the platform's list of boxes and for its service that rates answers.
 
-use super::model::BAD_MARK;
+use super::model::BAD_ANSWER_MARKER;
 use super::server::{StandIn, json, pause, text};
 use crate::live::{BoxState, ListedBox, LiveList};
 use actix_http::body::BoxBody;
@@ -87,7 +87,7 @@
         let Ok(question) = serde_json::from_slice::<RateQuestion>(body) else {
             return text(StatusCode::BAD_REQUEST, "the question cannot be read");
         };
-        let truth = !question.answer.contains(BAD_MARK);
+        let truth = !question.answer.contains(BAD_ANSWER_MARKER);
         let lies = rand::random_bool(faults.wrong.clamp(0.0, 1.0));
         json(&Rating {
             good: truth != lies,
--- a/src/lab/proxy.rs
+++ b/src/lab/proxy.rs
@@ -23,20 +23,20 @@
     /// Connections are closed and new ones are refused.
     Closed,
     /// Bytes are held, as by a network that drops packets.
-    Silent,
+    Stalled,
     /// Bytes to the target are held; those from it pass.
-    SilentThere,
+    StalledToTarget,
     /// Bytes from the target are held; those to it pass.
-    SilentBack,
+    StalledFromTarget,
     /// Connections are reset, present and new ones.
     Reset,
     /// Bytes from the target are swallowed and then the connection is closed, so that
     /// an answer is lost after its effect.
-    LoseAnswers,
+    DropAnswers,
     /// Bytes pass late by so many milliseconds.
-    Late(u64),
+    Delayed(u64),
     /// So many bytes pass in a second each way, on all connections of the link together.
-    Narrow(u64),
+    Throttled(u64),
 }
 
 /// Until when each way of a link is taken up by bytes that have passed already.
@@ -153,9 +153,9 @@
 /// Tells whether a mode holds the bytes of a direction.
 fn holds(mode: LinkMode, is_answer: bool) -> bool {
     match mode {
-        LinkMode::Silent => true,
-        LinkMode::SilentThere => !is_answer,
-        LinkMode::SilentBack => is_answer,
+        LinkMode::Stalled => true,
+        LinkMode::StalledToTarget => !is_answer,
+        LinkMode::StalledFromTarget => is_answer,
         _ => false,
     }
 }
@@ -184,11 +184,11 @@
         }
         let present = *mode.borrow();
         match present {
-            LinkMode::Late(millis) => sleep(Duration::from_millis(millis)).await,
-            LinkMode::Narrow(rate) => {
+            LinkMode::Delayed(millis) => sleep(Duration::from_millis(millis)).await,
+            LinkMode::Throttled(rate) => {
                 sleep_until(lanes.reserve(is_answer, count, rate, Instant::now())).await;
             }
-            LinkMode::LoseAnswers if is_answer => return Ok(()),
+            LinkMode::DropAnswers if is_answer => return Ok(()),
             _ => {}
         }
         to.write_all(&buf[..count]).await?;
--- a/src/lab/service.rs
+++ b/src/lab/service.rs
@@ -39,7 +39,7 @@
 
 impl ServiceStandIn {
     /// Sets how the service behaves.
-    pub fn set(&self, behaviour: ServiceBehaviour) {
+    pub fn set_behaviour(&self, behaviour: ServiceBehaviour) {
         *self
             .behaviour
             .lock()
@@ -97,7 +97,7 @@
                 "/lab/runs" => json(&self.runs()),
                 "/lab/behaviour" => {
                     if let Ok(behaviour) = serde_json::from_slice(&body) {
-                        self.set(behaviour);
+                        self.set_behaviour(behaviour);
                     }
                     json(
                         &*self
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -2,23 +2,23 @@
 
 mod common;
 
-use common::{Bench, BenchPlan, question, read_answer, streamed_question};
-use gatepier::lab::model::{BAD_MARK, Behaviour};
+use common::{Bench, BenchPlan, completion_body, read_answer, streaming_completion_body};
+use gatepier::lab::model::{BAD_ANSWER_MARKER, ModelBehaviour};
 use gatepier::lab::proxy::LinkMode;
 use googletest::prelude::*;
 
-fn set_behaviour_of_all(bench: &Bench, version: &str, behaviour: Behaviour) {
+fn set_behaviour_of_all(bench: &Bench, version: &str, behaviour: ModelBehaviour) {
     bench
         .models
         .iter()
-        .for_each(|model| model.stand_in.set(version, behaviour));
+        .for_each(|model| model.stand_in.set_behaviour(version, behaviour));
 }
 
 cases! {
     interrupted_stream_is_reported_as_incomplete => async {
         let bench = Bench::start(BenchPlan::default()).await;
-        set_behaviour_of_all(&bench, "small/s1", Behaviour { breaking: 1.0, ..Behaviour::default() });
-        let answer = bench.complete("ikeja-1", "comics", streamed_question("small")).await;
+        set_behaviour_of_all(&bench, "small/s1", ModelBehaviour { breaking: 1.0, ..ModelBehaviour::default() });
+        let answer = bench.complete("ikeja-1", "comics", streaming_completion_body("small")).await;
         expect_that!(answer.whole, eq(false));
         expect_that!(answer.body, contains_substring("\"outcome\":\"unknown\""));
         expect_that!(answer.body, not(contains_substring("[DONE]")));
@@ -26,18 +26,18 @@
 
     answer_to_another_request_is_not_forwarded => async {
         let bench = Bench::start(BenchPlan::default()).await;
-        set_behaviour_of_all(&bench, "small/s1", Behaviour { crossed: true, ..Behaviour::default() });
-        let answer = bench.ask("ikeja-1", "small").await;
+        set_behaviour_of_all(&bench, "small/s1", ModelBehaviour { crossed: true, ..ModelBehaviour::default() });
+        let answer = bench.complete_as_comics("ikeja-1", "small").await;
         expect_that!(answer.status, eq(502), "{}", answer.body);
         expect_that!(answer.body, not(contains_substring("crossed\"")));
     };
 
     request_to_failing_upstream_is_retried_on_another => async {
         let bench = Bench::start(BenchPlan::default()).await;
-        let failing = Behaviour { failing: 1.0, ..Behaviour::default() };
-        bench.models[0].stand_in.set("small/s1", failing);
+        let failing = ModelBehaviour { failing: 1.0, ..ModelBehaviour::default() };
+        bench.models[0].stand_in.set_behaviour("small/s1", failing);
         for _ in 0..10 {
-            expect_that!(bench.ask("ikeja-1", "small").await.status, eq(200));
+            expect_that!(bench.complete_as_comics("ikeja-1", "small").await.status, eq(200));
         }
     };
 
@@ -45,7 +45,7 @@
         let bench = Bench::start(BenchPlan::default()).await;
         bench.proxy.set("up:ikeja-model-1", LinkMode::Closed);
         for _ in 0..10 {
-            let answer = bench.complete("ikeja-1", "comics", streamed_question("small")).await;
+            let answer = bench.complete("ikeja-1", "comics", streaming_completion_body("small")).await;
             expect_that!(answer.status, eq(200), "{}", answer.body);
             expect_that!(answer.whole, eq(true));
         }
@@ -53,23 +53,23 @@
 
     inline_gate_escalates_when_the_cheap_answer_is_bad => async {
         let bench = Bench::start(BenchPlan::default()).await;
-        set_behaviour_of_all(&bench, "small/s1", Behaviour { quality: 0.0, ..Behaviour::default() });
-        let answer = bench.ask("ikeja-1", "recap").await;
+        set_behaviour_of_all(&bench, "small/s1", ModelBehaviour { quality: 0.0, ..ModelBehaviour::default() });
+        let answer = bench.complete_as_comics("ikeja-1", "recap").await;
         expect_that!(answer.header("gatepier-version"), eq("large/l1"), "{}", answer.body);
-        expect_that!(answer.body, not(contains_substring(BAD_MARK)));
+        expect_that!(answer.body, not(contains_substring(BAD_ANSWER_MARKER)));
     };
 
     inline_gate_passes_and_marks_the_unrated_answer_without_a_rater => async {
         let bench = Bench::start(BenchPlan::default()).await;
         bench.proxy.set("rater:", LinkMode::Closed);
-        let answer = bench.ask("ikeja-1", "recap").await;
+        let answer = bench.complete_as_comics("ikeja-1", "recap").await;
         expect_that!(answer.header("gatepier-version"), eq("small/s1"), "{}", answer.body);
         expect_that!(answer.header("gatepier-rated"), eq("no"));
     };
 
     inline_gate_returns_a_stream_if_one_was_requested => async {
         let bench = Bench::start(BenchPlan::default()).await;
-        let answer = bench.complete("ikeja-1", "comics", streamed_question("recap")).await;
+        let answer = bench.complete("ikeja-1", "comics", streaming_completion_body("recap")).await;
         expect_that!(answer.header("content-type"), eq("text/event-stream"));
         expect_that!(answer.body, ends_with("data: [DONE]\n\n"));
     };
@@ -80,7 +80,7 @@
             let request = bench
                 .request(name, "comics", "POST", "/v1/chat/completions")
                 .insert_header(("idempotency-key", "recap-1"));
-            let answer = read_answer(request.send_json(&question("small")).await).await;
+            let answer = read_answer(request.send_json(&completion_body("small")).await).await;
             expect_that!(answer.status, eq(200));
         }
         bench.wait_for("the billing record is stored", async || {
@@ -120,10 +120,10 @@
 
     caller_disconnect_cancels_the_upstream_request => async {
         let bench = Bench::start(BenchPlan::default()).await;
-        let slow = Behaviour { tokens: 2000, token_ms: 10, ..Behaviour::default() };
+        let slow = ModelBehaviour { tokens: 2000, token_ms: 10, ..ModelBehaviour::default() };
         set_behaviour_of_all(&bench, "small/s1", slow);
         let request = bench.request("ikeja-1", "comics", "POST", "/v1/chat/completions");
-        let mut response = request.send_json(&streamed_question("small")).await.unwrap();
+        let mut response = request.send_json(&streaming_completion_body("small")).await.unwrap();
         let first = futures::StreamExt::next(&mut response).await;
         expect_that!(first.is_some(), eq(true));
         drop(response);
@@ -137,7 +137,7 @@
         let bench = Bench::start(BenchPlan::default()).await;
         bench.operate_ok(0, &["withdraw", "small/s2"]).await;
         bench.wait_generation(&["ikeja-1"], 3).await;
-        let answer = bench.ask("ikeja-1", "small").await;
+        let answer = bench.complete_as_comics("ikeja-1", "small").await;
         let id = answer.header("gatepier-request-id").to_owned();
         let text = std::cell::RefCell::new(String::new());
         bench.wait_for("an agent explains the request", async || {
--- a/tests/bundles.rs
+++ b/tests/bundles.rs
@@ -49,7 +49,7 @@
         bench
             .wait_for(
                 &format!("{name} refuses the withdrawn version"),
-                async || bench.ask(name, "small/s2").await.status != 200,
+                async || bench.complete_as_comics(name, "small/s2").await.status != 200,
             )
             .await;
     }
@@ -84,7 +84,7 @@
         let before = bench.version_runs().get("small/s2").copied().unwrap_or(0);
         for name in ALL_BOXES {
             for _ in 0..10 {
-                bench.ask(name, "small/s2").await;
+                bench.complete_as_comics(name, "small/s2").await;
             }
         }
         expect_that!(bench.version_runs().get("small/s2").copied().unwrap_or(0), eq(before));
@@ -102,7 +102,7 @@
 
     writer_whose_answer_is_lost_reads_its_own_change_back => async {
         let bench = Bench::start(BenchPlan::default()).await;
-        bench.set_store(StoreFaults { lose_answers: 1, ..StoreFaults::default() });
+        bench.set_store_faults(StoreFaults { lose_answers: 1, ..StoreFaults::default() });
         let output = bench.operate(0, &["withdraw", "small/s2"]).await;
         expect_that!(output.status.code(), some(eq(0)));
         bench.wait_generation(&["ikeja-1", "ikeja-2"], 3).await;
@@ -110,10 +110,10 @@
 
     store_that_is_down_fails_the_change_and_says_so => async {
         let bench = Bench::start(BenchPlan::default()).await;
-        bench.set_store(StoreFaults { down: true, ..StoreFaults::default() });
+        bench.set_store_faults(StoreFaults { down: true, ..StoreFaults::default() });
         let output = bench.operate(0, &["withdraw", "small/s2"]).await;
         expect_that!(output.status.code(), some(eq(1)));
-        expect_that!(bench.ask("ikeja-1", "small").await.status, eq(200));
+        expect_that!(bench.complete_as_comics("ikeja-1", "small").await.status, eq(200));
     };
 
     entry_of_an_unknown_signer_is_not_taken => async {
@@ -130,7 +130,7 @@
         }).await;
         let status = bench.status_of("ikeja-1").await.unwrap();
         expect_that!(status["generation"].as_u64(), some(eq(2)));
-        expect_that!(bench.ask("ikeja-1", "small").await.status, eq(200));
+        expect_that!(bench.complete_as_comics("ikeja-1", "small").await.status, eq(200));
         // The forged entries hold up neither operators nor an agent that starts anew.
         bench.agent("ikeja-1").kill();
         bench.start_agent("ikeja-1");
@@ -146,12 +146,12 @@
         bench.operate_ok(0, &["propose", file]).await;
         let output = bench.operate(0, &["sign", file]).await;
         expect_that!(output.status.code(), some(eq(1)));
-        expect_that!(bench.ask("ikeja-1", "small").await.status, eq(503));
+        expect_that!(bench.complete_as_comics("ikeja-1", "small").await.status, eq(503));
     };
 
     change_reaches_a_hall_that_is_cut_from_the_store => async {
         let bench = Bench::start(two_halls()).await;
-        bench.proxy.set("store:lekki", LinkMode::Silent);
+        bench.proxy.set("store:lekki", LinkMode::Stalled);
         let began = Instant::now();
         bench.operate_ok(0, &["withdraw", "small/s2"]).await;
         withdrawn_everywhere(&bench, &ALL_BOXES).await;
@@ -161,10 +161,10 @@
     cut_hall_serves_on_and_catches_up_once_healed => async {
         let bench = Bench::start(two_halls()).await;
         let cut = ["store:lekki", "list:lekki", "ikeja>lekki", "lekki>ikeja"];
-        cut.iter().for_each(|link| bench.proxy.set(link, LinkMode::Silent));
+        cut.iter().for_each(|link| bench.proxy.set(link, LinkMode::Stalled));
         bench.operate_ok(0, &["withdraw", "small/s2"]).await;
         withdrawn_everywhere(&bench, &["ikeja-1", "ikeja-2"]).await;
-        expect_that!(bench.ask("lekki-1", "small").await.status, eq(200));
+        expect_that!(bench.complete_as_comics("lekki-1", "small").await.status, eq(200));
         cut.iter().for_each(|link| bench.proxy.set(link, LinkMode::Open));
         let began = Instant::now();
         withdrawn_everywhere(&bench, &["lekki-1", "lekki-2"]).await;
@@ -175,15 +175,15 @@
         let mut bench = Bench::start(two_halls()).await;
         bench.operate_ok(0, &["withdraw", "small/s2"]).await;
         bench.wait_generation(&ALL_BOXES, 3).await;
-        bench.set_store(StoreFaults { down: true, ..StoreFaults::default() });
+        bench.set_store_faults(StoreFaults { down: true, ..StoreFaults::default() });
         bench.agent("lekki-1").kill();
         bench.router("lekki-1").kill();
         bench.start_agent("lekki-1");
         bench.start_router("lekki-1");
         let files = bench.boxes["lekki-1"].files.clone();
         bench.wait_router_ready(&files).await;
-        bench.wait_for("it serves", async || bench.ask("lekki-1", "small").await.status == 200).await;
-        expect_that!(bench.ask("lekki-1", "small/s2").await.status, eq(503));
+        bench.wait_for("it serves", async || bench.complete_as_comics("lekki-1", "small").await.status == 200).await;
+        expect_that!(bench.complete_as_comics("lekki-1", "small/s2").await.status, eq(503));
     };
 
     one_agent_of_each_hall_calls_the_store => async {
@@ -206,7 +206,7 @@
     withdrawal_reaches_a_router_whose_agent_is_dead_or_frozen => async {
         let mut bench = Bench::start(two_halls()).await;
         bench.agent("ikeja-1").kill();
-        bench.agent("lekki-1").freeze();
+        bench.agent("lekki-1").suspend();
         let began = Instant::now();
         bench.operate_ok(0, &["withdraw", "small/s2"]).await;
         withdrawn_everywhere(&bench, &ALL_BOXES).await;
@@ -221,7 +221,7 @@
         bench.start_router("ikeja-1");
         let files = bench.boxes["ikeja-1"].files.clone();
         bench.wait_router_ready(&files).await;
-        expect_that!(bench.ask("ikeja-1", "small").await.status, eq(200));
+        expect_that!(bench.complete_as_comics("ikeja-1", "small").await.status, eq(200));
     };
 
     agent_that_starts_anew_does_not_take_its_router_back => async {
@@ -238,7 +238,7 @@
         }
         bench.wait_generation(&["ikeja-1", "ikeja-2"], 2).await;
         for name in ["ikeja-1", "ikeja-2"] {
-            expect_that!(bench.ask(name, "small/s2").await.status, eq(503));
+            expect_that!(bench.complete_as_comics(name, "small/s2").await.status, eq(503));
         }
     };
 }
--- a/tests/chaos.rs
+++ b/tests/chaos.rs
@@ -8,7 +8,8 @@
 mod common;
 
 use common::{
-    Answer, Bench, BenchPlan, CallerView, Operators, question, read_answer, streamed_question,
+    Answer, Bench, BenchPlan, CallerView, Operators, completion_body, read_answer,
+    streaming_completion_body,
 };
 use gatepier::lab::model::{Run, TRY_HEADER};
 use gatepier::lab::proxy::LinkMode;
@@ -77,8 +78,8 @@
         read_answer(match kind {
             Kind::Bookmark => request.send_body("page 7").await,
             Kind::Manifest => request.send().await,
-            Kind::Whole => request.send_json(&question("small")).await,
-            Kind::Stream => request.send_json(&streamed_question("small")).await,
+            Kind::Whole => request.send_json(&completion_body("small")).await,
+            Kind::Stream => request.send_json(&streaming_completion_body("small")).await,
         })
         .await
     };
@@ -184,7 +185,7 @@
     }
 
     fn cut(&mut self, bench: &Bench, links: Vec<String>) {
-        let mode = *[LinkMode::Closed, LinkMode::Silent]
+        let mode = *[LinkMode::Closed, LinkMode::Stalled]
             .choose(&mut self.rng)
             .unwrap();
         links.iter().for_each(|link| bench.proxy.set(link, mode));
@@ -204,7 +205,7 @@
                 self.heal_later(50, 3000, Heal::StartAgent(name));
             }
             2 | 3 => {
-                bench.borrow_mut().agent(name).freeze();
+                bench.borrow_mut().agent(name).suspend();
                 self.heal_later(200, 6000, Heal::ThawAgent(name));
             }
             4 => {
@@ -212,7 +213,7 @@
                 self.heal_later(50, 1000, Heal::StartRouter(name));
             }
             5 => {
-                bench.borrow_mut().router(name).freeze();
+                bench.borrow_mut().router(name).suspend();
                 self.heal_later(100, 3000, Heal::ThawRouter(name));
             }
             6 => {
@@ -231,7 +232,7 @@
                 self.cut(&bench.borrow(), links.to_vec());
             }
             7 => {
-                bench.borrow().set_store(StoreFaults {
+                bench.borrow().set_store_faults(StoreFaults {
                     down: true,
                     ..StoreFaults::default()
                 });
@@ -239,14 +240,14 @@
             }
             8 => {
                 let lose_answers = self.rng.random_range(1..6);
-                bench.borrow().set_store(StoreFaults {
+                bench.borrow().set_store_faults(StoreFaults {
                     lose_answers,
                     ..StoreFaults::default()
                 });
             }
             9 => {
                 let delay_ms = self.rng.random_range(50..2500);
-                bench.borrow().set_store(StoreFaults {
+                bench.borrow().set_store_faults(StoreFaults {
                     delay_ms,
                     ..StoreFaults::default()
                 });
@@ -260,7 +261,7 @@
                     "lekki-reader-1",
                 ];
                 let link = format!("up:{}", upstreams.choose(&mut self.rng).unwrap());
-                let modes = [LinkMode::Closed, LinkMode::Silent, LinkMode::LoseAnswers];
+                let modes = [LinkMode::Closed, LinkMode::Stalled, LinkMode::DropAnswers];
                 bench
                     .borrow()
                     .proxy
@@ -306,8 +307,8 @@
         for Healing { heal, .. } in due {
             let mut bench = bench.borrow_mut();
             match heal {
-                Heal::ThawAgent(name) => bench.agent(name).thaw(),
-                Heal::ThawRouter(name) => bench.router(name).thaw(),
+                Heal::ThawAgent(name) => bench.agent(name).resume(),
+                Heal::ThawRouter(name) => bench.router(name).resume(),
                 Heal::StartAgent(name) => {
                     bench.agent(name).kill();
                     bench.start_agent(name);
@@ -321,7 +322,7 @@
                         .iter()
                         .for_each(|link| bench.proxy.set(link, LinkMode::Open));
                 }
-                Heal::MendStore => bench.set_store(StoreFaults::default()),
+                Heal::MendStore => bench.set_store_faults(StoreFaults::default()),
             }
         }
     }
@@ -482,7 +483,7 @@
     for _ in 0..ROUNDS {
         for name in BOXES {
             let mut bench = bench.borrow_mut();
-            if bench.agent(name).ended().is_some() {
+            if bench.agent(name).exit_success().is_some() {
                 bench.start_agent(name);
             }
         }
@@ -528,7 +529,7 @@
     };
     futures::join!(callers, disturb);
     disturber.heal(&bench, None);
-    bench.borrow().set_store(StoreFaults::default());
+    bench.borrow().set_store_faults(StoreFaults::default());
     start_ended_agents(&bench).await;
     let bench = bench.into_inner();
     bench.wait_ready().await;
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -87,10 +87,10 @@
     resumed_owner_grants_nothing_in_its_old_epoch => async {
         let mut bench = Bench::start(three_box_plan()).await;
         let (owner, other) = owner_and_other(&bench).await;
-        bench.agent(owner).freeze();
+        bench.agent(owner).suspend();
         wait_for_grants(&bench, other).await;
         expect_that!(send_bookmarks(&bench, other, "woken", 16).await, eq(16));
-        bench.agent(owner).thaw();
+        bench.agent(owner).resume();
         // The resumed agent still considers itself the owner when these requests arrive.
         for number in 0..16 {
             bench.bookmark(owner, &format!("woken-{number}")).await;
@@ -100,11 +100,11 @@
 
     claims_are_granted_while_the_store_is_unavailable => async {
         let bench = Bench::start(BenchPlan::default()).await;
-        bench.set_store(StoreFaults { down: true, ..StoreFaults::default() });
+        bench.set_store_faults(StoreFaults { down: true, ..StoreFaults::default() });
         expect_that!(send_bookmarks(&bench, "ikeja-1", "away", 16).await, eq(16));
         expect_that!(send_bookmarks(&bench, "ikeja-2", "away", 16).await, eq(16));
         expect_that!(max_runs_per_key(&bench, "away", 16), eq(1));
-        bench.set_store(StoreFaults::default());
+        bench.set_store_faults(StoreFaults::default());
         bench.wait_for("all bills are in the ledger", async || {
             let ledger = bench.ledger().await;
             (0..16).all(|number| ledger.contains_key(&format!("away-{number}")))
@@ -138,12 +138,12 @@
 
     routers_resubmit_ends_of_requests_that_both_agents_lost => async {
         let mut bench = Bench::start(BenchPlan::default()).await;
-        bench.set_store(StoreFaults { down: true, ..StoreFaults::default() });
+        bench.set_store_faults(StoreFaults { down: true, ..StoreFaults::default() });
         expect_that!(send_bookmarks(&bench, "ikeja-1", "restored", 8).await, eq(8));
         for name in BOXES {
             bench.agent(name).kill();
         }
-        bench.set_store(StoreFaults::default());
+        bench.set_store_faults(StoreFaults::default());
         for name in BOXES {
             bench.start_agent(name);
         }
@@ -162,7 +162,7 @@
     owner_without_a_witness_refuses_as_not_run_with_retry_after => async {
         let mut bench = Bench::start(BenchPlan::default()).await;
         let (owner, other) = owner_and_other(&bench).await;
-        bench.agent(other).freeze();
+        bench.agent(other).suspend();
         bench.wait_for("a bookmark is refused", async || {
             let answer = bench.bookmark(owner, "alone").await;
             answer.status == 503
@@ -170,7 +170,7 @@
                 && !answer.header("retry-after").is_empty()
         }).await;
         expect_that!(bench.bookmark_runs("alone"), eq(0));
-        bench.agent(other).thaw();
+        bench.agent(other).resume();
         bench.wait_for("the bookmark runs", async || {
             bench.bookmark(owner, "alone").await.status == 200
         }).await;
@@ -180,7 +180,7 @@
     connection_that_breaks_after_the_request_is_unknown_and_not_retried => async {
         let bench = Bench::start(BenchPlan::default()).await;
         let service = &bench.services[0].stand_in;
-        service.set(ServiceBehaviour { delay_ms: 400, ..ServiceBehaviour::default() });
+        service.set_behaviour(ServiceBehaviour { delay_ms: 400, ..ServiceBehaviour::default() });
         let sent = bench.bookmark("ikeja-1", "broken");
         let cut = async {
             bench.wait_for("the bookmark runs", async || bench.bookmark_runs("broken") == 1).await;
@@ -197,7 +197,7 @@
 
     request_whose_response_is_lost_is_unknown => async {
         let bench = Bench::start(BenchPlan::default()).await;
-        bench.proxy.set("up:ikeja-reader-1", LinkMode::LoseAnswers);
+        bench.proxy.set("up:ikeja-reader-1", LinkMode::DropAnswers);
         let answer = bench.bookmark("ikeja-1", "answerless").await;
         expect_that!(answer.outcome(), eq("unknown"), "{}", answer.body);
         bench.proxy.set("up:ikeja-reader-1", LinkMode::Open);
@@ -208,7 +208,7 @@
     request_to_an_unreachable_upstream_is_not_run_and_can_be_retried => async {
         let plan = BenchPlan { services: 0, ..BenchPlan::default() };
         let mut bench = Bench::start(plan).await;
-        let dead = common::dead_address();
+        let dead = common::unused_address();
         bench.list_service("dead", "ikeja", dead);
         bench.wait_for("the dead upstream is tried", async || {
             let answer = bench.bookmark("ikeja-1", "unreached").await;
@@ -225,7 +225,7 @@
     repeat_returns_the_response_that_a_disconnected_caller_missed => async {
         let bench = Bench::start(BenchPlan::default()).await;
         let service = &bench.services[0].stand_in;
-        service.set(ServiceBehaviour { delay_ms: 500, ..ServiceBehaviour::default() });
+        service.set_behaviour(ServiceBehaviour { delay_ms: 500, ..ServiceBehaviour::default() });
         let disconnected = actix_rt::time::timeout(Duration::from_millis(200), bench.bookmark("ikeja-1", "left"));
         expect_that!(disconnected.await.is_err(), eq(true));
         bench.wait_for("the repeat gets the answer", async || {
@@ -239,7 +239,7 @@
         let (owner, other) = owner_and_other(&bench).await;
         expect_that!(send_bookmarks(&bench, other, "handed", 16).await, eq(16));
         bench.agent(owner).signal(libc::SIGTERM);
-        bench.wait_for_end_of_agent(owner).await;
+        bench.wait_for_agent_exit(owner).await;
         wait_until_owner_of_all_shards(&bench, other).await;
         wait_for_grants(&bench, other).await;
         for number in 0..16 {
--- a/tests/common/calling.rs
+++ b/tests/common/callers.rs
@@ -67,13 +67,13 @@
 }
 
 /// Returns the body of a completion request.
-pub fn question(model: &str) -> Value {
+pub fn completion_body(model: &str) -> Value {
     json!({ "model": model, "messages": [{ "role": "user", "content": "What happened so far?" }] })
 }
 
 /// Returns the body of a streamed completion request.
-pub fn streamed_question(model: &str) -> Value {
-    let mut body = question(model);
+pub fn streaming_completion_body(model: &str) -> Value {
+    let mut body = completion_body(model);
     body["stream"] = Value::from(true);
     body
 }
@@ -153,8 +153,8 @@
     }
 
     /// Asks a box for a completion of a model, as `comics`.
-    pub async fn ask(&self, name: &str, model: &str) -> Answer {
-        self.complete(name, "comics", question(model)).await
+    pub async fn complete_as_comics(&self, name: &str, model: &str) -> Answer {
+        self.complete(name, "comics", completion_body(model)).await
     }
 
     /// Sends a bookmark, which may not be repeated, under a key.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,20 +3,20 @@
 
 #![allow(dead_code, reason = "each test binary uses a part of the bench")]
 
-mod calling;
-mod keeping;
-mod operating;
+mod callers;
+mod observation;
+mod operators;
+mod persistent_connection;
 mod process;
-pub mod scripted;
-mod starting;
-mod watching;
+pub mod scripted_upstream;
+mod startup;
 
 #[allow(unused_imports, reason = "each test binary uses a part of the bench")]
-pub use calling::{Answer, CallerView, question, read_answer, streamed_question};
+pub use callers::{Answer, CallerView, completion_body, read_answer, streaming_completion_body};
 #[allow(unused_imports, reason = "each test binary uses a part of the bench")]
-pub use keeping::{KeptConnection, Reply, connect_over_h2};
+pub use operators::Operators;
 #[allow(unused_imports, reason = "each test binary uses a part of the bench")]
-pub use operating::Operators;
+pub use persistent_connection::{PersistentConnection, RequestOutcome, connect_over_h2};
 pub use process::Process;
 
 use awc::Client;
@@ -187,6 +187,6 @@
 }
 
 /// Returns an address at which nothing listens.
-pub fn dead_address() -> SocketAddr {
+pub fn unused_address() -> SocketAddr {
     free_address().unwrap()
 }
--- a/tests/common/operating.rs
+++ b/tests/common/operators.rs
@@ -21,7 +21,7 @@
     }
 
     /// Claims a key through an agent, and tells whether it was granted.
-    pub async fn claim_by(&self, agent: &gatepier::wire::client::WireClient, id: &str) -> bool {
+    pub async fn claim_key(&self, agent: &gatepier::wire::client::WireClient, id: &str) -> bool {
         use gatepier::claim::{AttemptId, ClaimKey, ClaimReply};
         use gatepier::wire::message::{ControlRequest, ControlResponse};
         let key = ClaimKey {
--- a/tests/common/keeping.rs
+++ b/tests/common/persistent_connection.rs
@@ -1,6 +1,6 @@
 //! Callers that keep one connection and tell what became of each request on it.
 
-use super::streamed_question;
+use super::streaming_completion_body;
 use bytes::Bytes;
 use http_body_util::{BodyExt as _, Full};
 use hyper::client::conn::http1::{self, SendRequest};
@@ -13,7 +13,7 @@
 
 /// What became of a request on a kept connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Reply {
+pub enum RequestOutcome {
     /// An answer came whole.
     Answered {
         /// Its status.
@@ -21,24 +21,24 @@
         /// What it says about whether the request ran.
         outcome: String,
         /// Whether it asks the caller to leave the connection.
-        closes: bool,
+        closes_connection: bool,
         /// The body of a refusal, empty for an answer of an upstream.
         refusal: String,
     },
     /// The connection had ended before a byte of the request was written.
-    Unsent,
+    NotSent,
     /// The connection ended with the request on its way, so nobody knows whether it ran.
-    Cut(String),
+    ConnectionLost(String),
 }
 
-impl Reply {
+impl RequestOutcome {
     /// Tells whether the caller knows what became of its request: it was served, it is known not
     /// to have run, or it was never sent.
-    pub fn is_known(&self) -> bool {
+    pub fn is_outcome_known(&self) -> bool {
         match self {
-            Self::Answered { status: 200, .. } | Self::Unsent => true,
+            Self::Answered { status: 200, .. } | Self::NotSent => true,
             Self::Answered { outcome, .. } => outcome == "not-run",
-            Self::Cut(_) => false,
+            Self::ConnectionLost(_) => false,
         }
     }
 
@@ -49,12 +49,12 @@
 }
 
 /// A connection that its caller keeps.
-pub struct KeptConnection {
+pub struct PersistentConnection {
     router: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
 }
 
-impl KeptConnection {
+impl PersistentConnection {
     /// Connects to a router.
     pub async fn open(router: SocketAddr) -> Self {
         let stream = TcpStream::connect(router).await.unwrap();
@@ -64,25 +64,25 @@
     }
 
     /// Reads a manifest of the plain service as `comics`.
-    pub async fn read_manifest(&mut self) -> Reply {
+    pub async fn read_manifest(&mut self) -> RequestOutcome {
         let request = Request::get("/reader-api/manifest");
         self.send(request, Bytes::new()).await
     }
 
     /// Sends a bookmark, which may not be repeated, under a key.
-    pub async fn bookmark(&mut self, key: &str) -> Reply {
+    pub async fn bookmark(&mut self, key: &str) -> RequestOutcome {
         let request = Request::post("/reader-api/bookmarks").header("idempotency-key", key);
         self.send(request, Bytes::from_static(b"page 7")).await
     }
 
     /// Asks for a stream of the small model.
-    pub async fn stream(&mut self) -> Reply {
-        let question = streamed_question("small").to_string();
+    pub async fn stream(&mut self) -> RequestOutcome {
+        let question = streaming_completion_body("small").to_string();
         self.send(Request::post("/v1/chat/completions"), question.into())
             .await
     }
 
-    async fn send(&mut self, request: request::Builder, body: Bytes) -> Reply {
+    async fn send(&mut self, request: request::Builder, body: Bytes) -> RequestOutcome {
         let request = request
             .header("host", self.router.to_string())
             .header("authorization", "Bearer comics-key")
@@ -90,13 +90,13 @@
             .unwrap();
         match self.sender.send_request(request).await {
             Ok(response) => read(response).await,
-            Err(err) if err.is_canceled() => Reply::Unsent,
-            Err(err) => Reply::Cut(err.to_string()),
+            Err(err) if err.is_canceled() => RequestOutcome::NotSent,
+            Err(err) => RequestOutcome::ConnectionLost(err.to_string()),
         }
     }
 }
 
-async fn read(response: Response<hyper::body::Incoming>) -> Reply {
+async fn read(response: Response<hyper::body::Incoming>) -> RequestOutcome {
     let status = response.status().as_u16();
     let text = |name: &str| {
         let value = response.headers().get(name);
@@ -106,18 +106,18 @@
             .to_owned()
     };
     let outcome = text("gatepier-outcome");
-    let closes = text(CONNECTION.as_str()).eq_ignore_ascii_case("close");
+    let closes_connection = text(CONNECTION.as_str()).eq_ignore_ascii_case("close");
     match response.into_body().collect().await {
-        Ok(whole) => Reply::Answered {
+        Ok(whole) => RequestOutcome::Answered {
             status,
             outcome,
-            closes,
+            closes_connection,
             refusal: match status {
                 200 => String::new(),
                 _ => String::from_utf8_lossy(&whole.to_bytes()).into_owned(),
             },
         },
-        Err(err) => Reply::Cut(format!("the body: {err}")),
+        Err(err) => RequestOutcome::ConnectionLost(format!("the body: {err}")),
     }
 }
 
--- a/tests/common/process.rs
+++ b/tests/common/process.rs
@@ -43,12 +43,12 @@
     }
 
     /// Freezes the process.
-    pub fn freeze(&self) {
+    pub fn suspend(&self) {
         self.signal(libc::SIGSTOP);
     }
 
     /// Lets a frozen process go on.
-    pub fn thaw(&self) {
+    pub fn resume(&self) {
         self.signal(libc::SIGCONT);
     }
 
@@ -78,7 +78,7 @@
     }
 
     /// Tells whether the process has ended, and whether in success.
-    pub fn ended(&mut self) -> Option<bool> {
+    pub fn exit_success(&mut self) -> Option<bool> {
         self.child
             .try_wait()
             .unwrap()
--- a/tests/common/starting.rs
+++ b/tests/common/startup.rs
@@ -179,7 +179,7 @@
     }
 
     /// Returns the address of an upstream's stand-in itself.
-    pub fn direct(&self, name: &str) -> SocketAddr {
+    pub fn stand_in_address(&self, name: &str) -> SocketAddr {
         self.direct[name]
     }
 
@@ -190,11 +190,23 @@
 
     /// Lists a service's and a model's stand-in by their own addresses, without the proxy,
     /// and waits until the first box uses them.
-    pub async fn list_direct(&self, service: &str, model: &str, hall: &str) {
+    pub async fn list_without_proxy(&self, service: &str, model: &str, hall: &str) {
         let versions = ["small/s1", "small/s2", "large/l1"];
         let boxes = vec![
-            listed(service, "reader-api", hall, self.direct(service), &[]),
-            listed(model, "inkmind", hall, self.direct(model), &versions),
+            listed(
+                service,
+                "reader-api",
+                hall,
+                self.stand_in_address(service),
+                &[],
+            ),
+            listed(
+                model,
+                "inkmind",
+                hall,
+                self.stand_in_address(model),
+                &versions,
+            ),
         ];
         self.change_list(&ListChange::Put(boxes));
         let revision = self.platforms[hall].revision();
@@ -217,10 +229,10 @@
     }
 
     /// Waits until a box's agent has ended, and in success.
-    pub async fn wait_for_end_of_agent(&mut self, name: &str) {
+    pub async fn wait_for_agent_exit(&mut self, name: &str) {
         let deadline = Instant::now() + PATIENCE;
         let succeeded = loop {
-            if let Some(succeeded) = self.agent(name).ended() {
+            if let Some(succeeded) = self.agent(name).exit_success() {
                 break succeeded;
             }
             assert!(
@@ -283,7 +295,7 @@
     }
 
     /// Sets the store's faults.
-    pub fn set_store(&self, faults: StoreFaults) {
+    pub fn set_store_faults(&self, faults: StoreFaults) {
         self.store.set_faults(faults);
     }
 }
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::scripted::{Reaction, ScriptedUpstream, answer};
-use common::{Bench, question, read_answer};
+use common::scripted_upstream::{Reaction, ScriptedUpstream, answer};
+use common::{Bench, completion_body, read_answer};
 use googletest::prelude::*;
 use serde_json::Value;
 use std::time::{Duration, Instant};
@@ -55,7 +55,7 @@
 }
 
 async fn complete(bench: &Bench, router: &str, content: &str) -> (u16, Value) {
-    let mut body = question("small");
+    let mut body = completion_body("small");
     body["messages"][0]["content"] = Value::from(content);
     let answer = bench.complete(router, "comics", body).await;
     let parsed = serde_json::from_str(&answer.body).unwrap_or_default();
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -3,8 +3,8 @@
 
 mod common;
 
-use common::{Bench, BenchPlan, connect_over_h2, question, streamed_question};
-use gatepier::lab::model::Behaviour;
+use common::{Bench, BenchPlan, completion_body, connect_over_h2, streaming_completion_body};
+use gatepier::lab::model::ModelBehaviour;
 use googletest::prelude::*;
 use serde_json::Value;
 
@@ -18,7 +18,7 @@
         .unwrap();
     let mut connection = connect_over_h2(router).await.ready().await.unwrap();
     let (response, mut request_body) = connection.send_request(request, false).unwrap();
-    let question = streamed_question("small").to_string();
+    let question = streaming_completion_body("small").to_string();
     request_body.send_data(question.into(), true).unwrap();
     let response = response.await.unwrap();
     assert_eq!(response.status(), http::StatusCode::OK);
@@ -39,7 +39,7 @@
 cases! {
     allowed_version_answers => async {
         let bench = Bench::start(BenchPlan::default()).await;
-        let answer = bench.ask("ikeja-1", "small").await;
+        let answer = bench.complete_as_comics("ikeja-1", "small").await;
         expect_that!(answer.status, eq(200), "{}", answer.body);
         expect_that!(answer.header("gatepier-version"), eq("small/s1"));
         expect_that!(answer.outcome(), eq("done"));
@@ -49,7 +49,7 @@
 
     forbidden_model_is_refused => async {
         let bench = Bench::start(BenchPlan::default()).await;
-        let answer = bench.complete("ikeja-1", "tales", question("large")).await;
+        let answer = bench.complete("ikeja-1", "tales", completion_body("large")).await;
         expect_that!(answer.status, eq(403));
         expect_that!(answer.outcome(), eq("not-run"));
         expect_that!(bench.version_runs().is_empty(), eq(true));
@@ -57,7 +57,7 @@
 
     stream_is_complete => async {
         let bench = Bench::start(BenchPlan::default()).await;
-        let answer = bench.complete("ikeja-2", "comics", streamed_question("small")).await;
+        let answer = bench.complete("ikeja-2", "comics", streaming_completion_body("small")).await;
         expect_that!(answer.status, eq(200));
         expect_that!(answer.whole, eq(true));
         expect_that!(answer.body, ends_with("data: [DONE]\n\n"));
@@ -100,8 +100,8 @@
 
     interrupted_http2_stream_is_reset => async {
         let bench = Bench::start(BenchPlan::default()).await;
-        let breaking = Behaviour { breaking: 1.0, ..Behaviour::default() };
-        bench.models.iter().for_each(|model| model.stand_in.set("small/s1", breaking));
+        let breaking = ModelBehaviour { breaking: 1.0, ..ModelBehaviour::default() };
+        bench.models.iter().for_each(|model| model.stand_in.set_behaviour("small/s1", breaking));
         let (_events, end) = read_http2_stream(&bench).await;
         expect_that!(end.is_some_and(|err| err.is_reset()), eq(true));
     };
--- a/tests/exposure.rs
+++ b/tests/exposure.rs
@@ -8,7 +8,7 @@
 use gatepier::clock::Now;
 use gatepier::evidence::{Counts, Evidence, EvidenceCell, Subject, Suspension};
 use gatepier::guard::{Guard, GuardPolicy};
-use gatepier::lab::model::Behaviour;
+use gatepier::lab::model::ModelBehaviour;
 use gatepier::lab::proxy::LinkMode;
 use gatepier::lab::store::StoreFaults;
 use gatepier::name::VersionName;
@@ -249,7 +249,7 @@
 async fn ask_until_suspended(bench: &Bench) -> usize {
     bench
         .wait_for("the bad version is suspended", async || {
-            bench.ask("ikeja-1", "small/s2").await;
+            bench.complete_as_comics("ikeja-1", "small/s2").await;
             let status = bench.status_of("ikeja-1").await;
             status.is_some_and(|status| {
                 status["suspensions"]
@@ -273,20 +273,20 @@
 cases! {
     failing_version_is_suspended_without_the_store_and_lifted_by_operators => async {
         let bench = Bench::start(sensitive_guard_plan()).await;
-        bench.set_store(StoreFaults { down: true, ..StoreFaults::default() });
-        let failing = Behaviour { failing: 1.0, ..Behaviour::default() };
-        bench.models.iter().for_each(|model| model.stand_in.set("small/s2", failing));
-        expect_that!(bench.ask("ikeja-1", "small/s1").await.status, eq(200));
+        bench.set_store_faults(StoreFaults { down: true, ..StoreFaults::default() });
+        let failing = ModelBehaviour { failing: 1.0, ..ModelBehaviour::default() };
+        bench.models.iter().for_each(|model| model.stand_in.set_behaviour("small/s2", failing));
+        expect_that!(bench.complete_as_comics("ikeja-1", "small/s1").await.status, eq(200));
         let runs = ask_until_suspended(&bench).await;
         println!("suspended after {runs} failing runs");
         wait_suspended_on_both_boxes(&bench).await;
-        expect_that!(bench.ask("ikeja-2", "small/s2").await.status, eq(503));
-        expect_that!(bench.ask("ikeja-2", "small/s1").await.status, eq(200));
-        bench.set_store(StoreFaults::default());
-        bench.models.iter().for_each(|model| model.stand_in.set("small/s2", Behaviour::default()));
+        expect_that!(bench.complete_as_comics("ikeja-2", "small/s2").await.status, eq(503));
+        expect_that!(bench.complete_as_comics("ikeja-2", "small/s1").await.status, eq(200));
+        bench.set_store_faults(StoreFaults::default());
+        bench.models.iter().for_each(|model| model.stand_in.set_behaviour("small/s2", ModelBehaviour::default()));
         bench.operate_ok(0, &["lift", "small/s2"]).await;
         bench.wait_for("the version serves again", async || {
-            bench.ask("ikeja-1", "small/s2").await.status == 200
+            bench.complete_as_comics("ikeja-1", "small/s2").await.status == 200
         }).await;
     };
 
@@ -294,13 +294,13 @@
         let bench = Bench::start(sensitive_guard_plan()).await;
         bench.operate_ok(0, &["roll", "small/s2", "50"]).await;
         bench.wait_generation(&["ikeja-1", "ikeja-2"], 3).await;
-        let bad = Behaviour { quality: 0.0, ..Behaviour::default() };
-        bench.models.iter().for_each(|model| model.stand_in.set("small/s2", bad));
+        let bad = ModelBehaviour { quality: 0.0, ..ModelBehaviour::default() };
+        bench.models.iter().for_each(|model| model.stand_in.set_behaviour("small/s2", bad));
         ask_until_suspended(&bench).await;
         wait_suspended_on_both_boxes(&bench).await;
         let before = bench.version_runs()["small/s2"];
         for _ in 0..20 {
-            let answer = bench.ask("ikeja-2", "small").await;
+            let answer = bench.complete_as_comics("ikeja-2", "small").await;
             expect_that!(answer.header("gatepier-version"), eq("small/s1"));
         }
         expect_that!(bench.version_runs()["small/s2"], eq(before));
@@ -309,11 +309,11 @@
     suspension_that_reaches_the_store_after_its_lift_is_not_in_force => async {
         let mut bench = Bench::start(sensitive_guard_plan()).await;
         bench.proxy.set("store:", LinkMode::Closed);
-        let failing = Behaviour { failing: 1.0, ..Behaviour::default() };
-        bench.models.iter().for_each(|model| model.stand_in.set("small/s2", failing));
+        let failing = ModelBehaviour { failing: 1.0, ..ModelBehaviour::default() };
+        bench.models.iter().for_each(|model| model.stand_in.set_behaviour("small/s2", failing));
         ask_until_suspended(&bench).await;
         wait_suspended_on_both_boxes(&bench).await;
-        bench.models.iter().for_each(|model| model.stand_in.set("small/s2", Behaviour::default()));
+        bench.models.iter().for_each(|model| model.stand_in.set_behaviour("small/s2", ModelBehaviour::default()));
         // The operators can reach the store and the agents cannot, so the lift is written first.
         bench.operate_ok(0, &["lift", "small/s2"]).await;
         bench.proxy.set("store:", LinkMode::Open);
@@ -326,11 +326,11 @@
         bench.wait_generation(&["ikeja-2"], 3).await;
         for name in ["ikeja-1", "ikeja-2"] {
             bench.wait_for("the version serves again", async || {
-                bench.ask(name, "small/s2").await.status == 200
+                bench.complete_as_comics(name, "small/s2").await.status == 200
             }).await;
         }
         for _ in 0..20 {
-            expect_that!(bench.ask("ikeja-2", "small/s2").await.status, eq(200));
+            expect_that!(bench.complete_as_comics("ikeja-2", "small/s2").await.status, eq(200));
         }
     };
 
@@ -350,9 +350,9 @@
         };
         let older = serde_json::to_vec(&older).unwrap();
         let key = suspension_key(PARTNER, &small_s2());
-        let failing = Behaviour { failing: 1.0, ..Behaviour::default() };
-        bench.models.iter().for_each(|model| model.stand_in.set("small/s2", failing));
-        bench.set_store(StoreFaults { delay_ms: 300, ..StoreFaults::default() });
+        let failing = ModelBehaviour { failing: 1.0, ..ModelBehaviour::default() };
+        bench.models.iter().for_each(|model| model.stand_in.set_behaviour("small/s2", failing));
+        bench.set_store_faults(StoreFaults { delay_ms: 300, ..StoreFaults::default() });
         let keep_overwriting = Cell::new(true);
         let overwrite = async {
             // The key changes between an agent's read and its write 300 ms later.
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Bench, BenchPlan, KeptConnection, Process, Reply};
+use common::{Bench, BenchPlan, PersistentConnection, Process, RequestOutcome};
 use futures::future::join_all;
 use googletest::prelude::*;
 use std::cell::Cell;
@@ -23,14 +23,14 @@
 struct Seen {
     longest_connecting: Duration,
     served: usize,
-    not_served: Vec<Reply>,
+    not_served: Vec<RequestOutcome>,
 }
 
 async fn call_until(router: SocketAddr, is_over: Rc<Cell<bool>>) -> Seen {
     let mut seen = Seen::default();
     while !is_over.get() {
         let began = Instant::now();
-        let mut connection = KeptConnection::open(router).await;
+        let mut connection = PersistentConnection::open(router).await;
         seen.longest_connecting = seen.longest_connecting.max(began.elapsed());
         match connection.read_manifest().await {
             reply if reply.is_served() => seen.served += 1,
@@ -71,9 +71,9 @@
     }
 
     async fn ended(&self, router: &mut Process) {
-        let has_ended = async || router.ended().is_some();
+        let has_ended = async || router.exit_success().is_some();
         self.bench.wait_for("a router has ended", has_ended).await;
-        expect_that!(router.ended(), some(eq(true)));
+        expect_that!(router.exit_success(), some(eq(true)));
     }
 
     /// Ends the callers, and returns what each saw.
@@ -93,7 +93,7 @@
 }
 
 fn all_were_served(seen: &[Seen]) {
-    let not_served: Vec<&Reply> = seen.iter().flat_map(|seen| &seen.not_served).collect();
+    let not_served: Vec<&RequestOutcome> = seen.iter().flat_map(|seen| &seen.not_served).collect();
     expect_that!(not_served, is_empty());
 }
 
@@ -148,9 +148,9 @@
     /// A frozen router answers nobody, and its successor may not wait for it.
     successor_of_a_frozen_router_listens_for_itself => async {
         let mut bench = Bench::start(BenchPlan::default()).await;
-        bench.router("ikeja-1").freeze();
+        bench.router("ikeja-1").suspend();
         let _successor = bench.start_successor("ikeja-1").await;
         expect_that!(bench.log_count(TAKEN_OVER), eq(0));
-        bench.router("ikeja-1").thaw();
+        bench.router("ikeja-1").resume();
     };
 }
--- a/tests/leaving_and_retry_after.rs
+++ b/tests/leaving_and_retry_after.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::scripted::{Reaction, ScriptedUpstream, answer};
+use common::scripted_upstream::{Reaction, ScriptedUpstream, answer};
 use common::{Bench, read_answer};
 use googletest::prelude::*;
 use std::time::{Duration, Instant};
@@ -24,7 +24,7 @@
 
 async fn send(bench: &Bench, service: &str) -> common::Answer {
     match service {
-        "inkmind" => bench.ask("ikeja-1", "small").await,
+        "inkmind" => bench.complete_as_comics("ikeja-1", "small").await,
         _ => {
             let request = bench.request("ikeja-1", "comics", "GET", "/reader-api/page");
             read_answer(request.send().await).await
--- a/tests/measure.rs
+++ b/tests/measure.rs
@@ -6,9 +6,9 @@
 
 mod common;
 
-use common::{Bench, BenchPlan, question, streamed_question};
+use common::{Bench, BenchPlan, completion_body, streaming_completion_body};
 use gatepier::lab::load::{LoadPlan, LoadReport};
-use gatepier::lab::model::Behaviour;
+use gatepier::lab::model::ModelBehaviour;
 use gatepier::lab::store::StoreFaults;
 use gatepier::store::etcd::EtcdStore;
 use gatepier::store::{Condition, Store as _};
@@ -84,32 +84,38 @@
 async fn router_speed() {
     let bench = Bench::start(one_box()).await;
     let (service, model) = (
-        bench.direct("ikeja-reader-1"),
-        bench.direct("ikeja-model-1"),
+        bench.stand_in_address("ikeja-reader-1"),
+        bench.stand_in_address("ikeja-model-1"),
     );
     // The proxy stands in neither way: the list names the stand-ins' own addresses.
     bench
-        .list_direct("ikeja-reader-1", "ikeja-model-1", "ikeja")
+        .list_without_proxy("ikeja-reader-1", "ikeja-model-1", "ikeja")
         .await;
-    let fast = Behaviour {
+    let fast = ModelBehaviour {
         first_token_ms: 0,
         token_ms: 0,
-        ..Behaviour::default()
+        ..ModelBehaviour::default()
     };
-    bench.models[0].stand_in.set("small/s1", fast);
+    bench.models[0].stand_in.set_behaviour("small/s1", fast);
     let read = plan(service, "/reader-api/manifest", None, 2000.0, 5);
     compare("plain reads, 2,000 a second", &bench, service, read).await;
     let path = "/v1/chat/completions";
-    let whole = plan(model, path, Some(question("small/s1")), 500.0, 5);
+    let whole = plan(model, path, Some(completion_body("small/s1")), 500.0, 5);
     compare("whole answers, 500 a second", &bench, model, whole).await;
-    let slow = Behaviour {
+    let slow = ModelBehaviour {
         first_token_ms: 20,
         token_ms: 20,
         tokens: 50,
-        ..Behaviour::default()
+        ..ModelBehaviour::default()
     };
-    bench.models[0].stand_in.set("small/s1", slow);
-    let streamed = plan(model, path, Some(streamed_question("small/s1")), 100.0, 5);
+    bench.models[0].stand_in.set_behaviour("small/s1", slow);
+    let streamed = plan(
+        model,
+        path,
+        Some(streaming_completion_body("small/s1")),
+        100.0,
+        5,
+    );
     compare(
         "streams of 50 tokens, 100 a second",
         &bench,
@@ -133,12 +139,12 @@
 
 async fn router_memory() {
     let mut bench = Bench::start(one_box()).await;
-    let long = Behaviour {
+    let long = ModelBehaviour {
         tokens: 600,
         token_ms: 50,
-        ..Behaviour::default()
+        ..ModelBehaviour::default()
     };
-    bench.models[0].stand_in.set("small/s1", long);
+    bench.models[0].stand_in.set_behaviour("small/s1", long);
     let streams = if is_full() { 2000 } else { 20 };
     let before = bench.router("ikeja-1").resident_kilobytes();
     let mut open = Vec::new();
@@ -146,7 +152,7 @@
         let request = bench.request("ikeja-1", "comics", "POST", "/v1/chat/completions");
         open.push(
             request
-                .send_json(&streamed_question("small/s1"))
+                .send_json(&streaming_completion_body("small/s1"))
                 .await
                 .unwrap(),
         );
@@ -226,7 +232,7 @@
     const AT_A_TIME: usize = 16;
     let bench = Bench::start(one_box()).await;
     bench
-        .list_direct("ikeja-reader-1", "ikeja-model-1", "ikeja")
+        .list_without_proxy("ikeja-reader-1", "ikeja-model-1", "ikeja")
         .await;
     let count = if is_full() { 4000 } else { 64 };
     let slow = StoreFaults {
@@ -237,7 +243,7 @@
         ("store answers in 3 ms", slow),
         ("store away", StoreFaults { down: true, ..slow }),
     ] {
-        bench.set_store(faults);
+        bench.set_store_faults(faults);
         println!("--- {label}");
         let store = EtcdStore::new(bench.store_address());
         claims_in(
@@ -273,11 +279,11 @@
             &format!("{label}: owner and witness"),
             count,
             AT_A_TIME,
-            async |number| bench.claim_by(&agent, &format!("{label}-{number}")).await,
+            async |number| bench.claim_key(&agent, &format!("{label}-{number}")).await,
         )
         .await;
     }
-    bench.set_store(slow);
+    bench.set_store_faults(slow);
     let claimed = AT_A_TIME / 4;
     claims_in(
         "bookmarks through the router, claimed",
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -4,7 +4,7 @@
 
 use common::{Bench, BenchPlan};
 use gatepier::clock::{Now, WallTime};
-use gatepier::lab::model::Behaviour;
+use gatepier::lab::model::ModelBehaviour;
 use gatepier::routing::backoff::FailureStreak;
 use googletest::prelude::*;
 use std::time::{Duration, Instant};
@@ -93,7 +93,7 @@
             actix_rt::time::sleep_until((start + due).into()).await;
             let started = Instant::now();
             let answer = bench
-                .complete("ikeja-1", organisation, common::question("small"))
+                .complete("ikeja-1", organisation, common::completion_body("small"))
                 .await;
             (answer, started.elapsed())
         });
@@ -112,15 +112,15 @@
 }
 
 fn slow_down_models(bench: &Bench) {
-    let slow = Behaviour {
+    let slow = ModelBehaviour {
         first_token_ms: ANSWER_MS,
         token_ms: 0,
-        ..Behaviour::default()
+        ..ModelBehaviour::default()
     };
     bench
         .models
         .iter()
-        .for_each(|model| model.stand_in.set("small/s1", slow));
+        .for_each(|model| model.stand_in.set_behaviour("small/s1", slow));
 }
 
 cases! {
--- a/tests/replacing.rs
+++ b/tests/replacing.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{
-    Answer, Bench, BenchPlan, KeptConnection, Process, Reply, connect_over_h2, question,
-    read_answer, streamed_question,
+    Answer, Bench, BenchPlan, PersistentConnection, Process, RequestOutcome, completion_body,
+    connect_over_h2, read_answer, streaming_completion_body,
 };
 use futures::future::join_all;
 use gatepier::daemon::listen_shared;
@@ -12,7 +12,7 @@
 use gatepier::http_server::accept::Taken;
 use gatepier::http_server::{Accepting, Connections, HttpServer};
 use gatepier::lab::fleet::free_address;
-use gatepier::lab::model::Behaviour;
+use gatepier::lab::model::ModelBehaviour;
 use googletest::prelude::*;
 use serde_json::Value;
 use std::io::{Read as _, Write as _};
@@ -158,7 +158,7 @@
     let mut longest = Duration::ZERO;
     while Instant::now() < until {
         let began = Instant::now();
-        let connection = KeptConnection::open(router).await;
+        let connection = PersistentConnection::open(router).await;
         longest = longest.max(began.elapsed());
         drop(connection);
         actix_rt::time::sleep(Duration::from_millis(5)).await;
@@ -167,10 +167,18 @@
 }
 
 /// Reads manifests one after the other until a moment, each on a connection of its own.
-async fn read_manifests_on_new_connections(router: SocketAddr, until: Instant) -> Vec<Reply> {
+async fn read_manifests_on_new_connections(
+    router: SocketAddr,
+    until: Instant,
+) -> Vec<RequestOutcome> {
     let mut replies = Vec::new();
     while Instant::now() < until {
-        replies.push(KeptConnection::open(router).await.read_manifest().await);
+        replies.push(
+            PersistentConnection::open(router)
+                .await
+                .read_manifest()
+                .await,
+        );
         actix_rt::time::sleep(Duration::from_millis(5)).await;
     }
     replies
@@ -187,7 +195,7 @@
         let mut router = bench.boxes.get_mut("ikeja-1").unwrap().router.take().unwrap();
         let mut replaced = Vec::new();
         let until = Instant::now() + Duration::from_secs(12);
-        let short = || question("small");
+        let short = || completion_body("small");
         let callers = join_all((0..24).map(|_| ask_on_one_connection(&bench, short, until)));
         let replacements = async {
             for _ in 0..3 {
@@ -207,11 +215,11 @@
     streams_on_kept_connections_of_many_threads_are_not_cut_as_routers_are_replaced => async {
         let plan = BenchPlan { router_extra: "workers = 8\n".to_owned(), ..BenchPlan::default() };
         let mut bench = Bench::start(plan).await;
-        let steady = Behaviour { tokens: 20, token_ms: 20, ..Behaviour::default() };
-        bench.models.iter().for_each(|model| model.stand_in.set("small/s1", steady));
+        let steady = ModelBehaviour { tokens: 20, token_ms: 20, ..ModelBehaviour::default() };
+        bench.models.iter().for_each(|model| model.stand_in.set_behaviour("small/s1", steady));
         let mut router = bench.boxes.get_mut("ikeja-1").unwrap().router.take().unwrap();
         let until = Instant::now() + Duration::from_secs(8);
-        let streams = || streamed_question("small");
+        let streams = || streaming_completion_body("small");
         let callers = join_all((0..24).map(|_| ask_on_one_connection(&bench, streams, until)));
         let replacements = async {
             let mut replaced = Vec::new();
@@ -236,16 +244,16 @@
     connection_that_rests_for_the_whole_notice_is_served_and_then_told_to_leave => async {
         let mut bench = Bench::start(BenchPlan::default()).await;
         let address = bench.boxes["ikeja-1"].files.router;
-        let mut kept = KeptConnection::open(address).await;
+        let mut kept = PersistentConnection::open(address).await;
         expect_that!(kept.read_manifest().await.is_served(), eq(true));
         bench.router("ikeja-1").signal(libc::SIGTERM);
         actix_rt::time::sleep(NOTICE + Duration::from_millis(500)).await;
         let reply = kept.read_manifest().await;
         expect_that!(reply.is_served(), eq(true), "{reply:?}");
-        expect_that!(matches!(reply, Reply::Answered { closes: true, .. }), eq(true));
+        expect_that!(matches!(reply, RequestOutcome::Answered { closes_connection: true, .. }), eq(true));
         let mut router = bench.boxes.get_mut("ikeja-1").unwrap().router.take().unwrap();
-        bench.wait_for("the router has ended", async || router.ended().is_some()).await;
-        expect_that!(router.ended(), some(eq(true)));
+        bench.wait_for("the router has ended", async || router.exit_success().is_some()).await;
+        expect_that!(router.exit_success(), some(eq(true)));
     };
 
     /// A stopping router knew of requests and not of connections: one that it had taken, with the
@@ -255,7 +263,7 @@
         let address = bench.boxes["ikeja-1"].files.router;
         bench.router("ikeja-1").signal(libc::SIGTERM);
         actix_rt::time::sleep(NOTICE - Duration::from_millis(500)).await;
-        let mut taken = KeptConnection::open(address).await;
+        let mut taken = PersistentConnection::open(address).await;
         actix_rt::time::sleep(Duration::from_secs(1)).await;
         expect_that!(taken.read_manifest().await.is_served(), eq(true));
     };
@@ -264,20 +272,20 @@
         const CALLERS: u32 = 400;
         let mut bench = Bench::start(drain_of_two_seconds()).await;
         let address = bench.boxes["ikeja-1"].files.router;
-        let mut kept = join_all((0..CALLERS).map(|_| KeptConnection::open(address))).await;
+        let mut kept = join_all((0..CALLERS).map(|_| PersistentConnection::open(address))).await;
         // One after the other, so that no burst makes the only upstream rest.
         for kept in &mut kept {
             expect_that!(kept.read_manifest().await.is_served(), eq(true));
         }
         bench.router("ikeja-1").signal(libc::SIGTERM);
         let first = Instant::now() + NOTICE + Duration::from_millis(500);
-        let ask = async |number: u32, kept: &mut KeptConnection| {
+        let ask = async |number: u32, kept: &mut PersistentConnection| {
             let at = first + Duration::from_micros(2500) * number;
             actix_rt::time::sleep_until(at.into()).await;
             kept.read_manifest().await
         };
         let replies = join_all((0..).zip(&mut kept).map(|(number, kept)| ask(number, kept))).await;
-        let unknown: Vec<&Reply> = replies.iter().filter(|reply| !reply.is_known()).collect();
+        let unknown: Vec<&RequestOutcome> = replies.iter().filter(|reply| !reply.is_outcome_known()).collect();
         expect_that!(unknown, is_empty());
         expect_that!(replies[0].is_served(), eq(true), "{:?}", replies[0]);
     };
@@ -306,13 +314,13 @@
         router.signal(libc::SIGTERM);
         successor.kill();
         for _ in 0..50 {
-            let reply = KeptConnection::open(address).await.read_manifest().await;
+            let reply = PersistentConnection::open(address).await.read_manifest().await;
             expect_that!(reply.is_served(), eq(true), "{reply:?}");
         }
         let _next = bench.start_successor("ikeja-1").await;
-        bench.wait_for("the router has ended", async || router.ended().is_some()).await;
-        expect_that!(router.ended(), some(eq(true)));
-        let reply = KeptConnection::open(address).await.read_manifest().await;
+        bench.wait_for("the router has ended", async || router.exit_success().is_some()).await;
+        expect_that!(router.exit_success(), some(eq(true)));
+        let reply = PersistentConnection::open(address).await.read_manifest().await;
         expect_that!(reply.is_served(), eq(true), "{reply:?}");
     };
 
@@ -353,17 +361,17 @@
     request_to_a_router_that_starts_waits_until_it_knows_a_bundle => async {
         let mut bench = Bench::start(BenchPlan::default()).await;
         let address = bench.boxes["ikeja-1"].files.router;
-        bench.agent("ikeja-1").freeze();
+        bench.agent("ikeja-1").suspend();
         bench.router("ikeja-1").kill();
         let started = bench.log_count("\"text\":\"started\"");
         let _successor = bench.spawn_router("ikeja-1");
         bench.wait_for("the successor takes callers", async || {
             bench.log_count("\"text\":\"started\"") > started
         }).await;
-        let mut caller = KeptConnection::open(address).await;
+        let mut caller = PersistentConnection::open(address).await;
         let tell = async {
             actix_rt::time::sleep(Duration::from_millis(300)).await;
-            bench.boxes["ikeja-1"].agent.as_ref().unwrap().thaw();
+            bench.boxes["ikeja-1"].agent.as_ref().unwrap().resume();
         };
         let (reply, ()) = futures::join!(caller.read_manifest(), tell);
         expect_that!(reply.is_served(), eq(true), "{reply:?}");
@@ -384,8 +392,8 @@
             successor
         };
         let (replies, _successor) = futures::join!(callers, replacement);
-        let replies: Vec<Reply> = replies.into_iter().flatten().collect();
-        let cut: Vec<&Reply> = replies.iter().filter(|reply| !reply.is_served()).collect();
+        let replies: Vec<RequestOutcome> = replies.into_iter().flatten().collect();
+        let cut: Vec<&RequestOutcome> = replies.iter().filter(|reply| !reply.is_served()).collect();
         expect_that!(cut, is_empty(), "of {} answers", replies.len());
     };
 
@@ -419,17 +427,17 @@
     bill_that_no_agent_has_taken_yet_keeps_a_stopping_router_alive => async {
         let mut bench = Bench::start(BenchPlan::default()).await;
         let names = ["ikeja-1", "ikeja-2"];
-        names.iter().for_each(|name| bench.boxes[*name].agent.as_ref().unwrap().freeze());
+        names.iter().for_each(|name| bench.boxes[*name].agent.as_ref().unwrap().suspend());
         let url = format!("http://{}/v1/chat/completions", bench.boxes["ikeja-1"].files.router);
         let request = fresh_client().post(url).bearer_auth("comics-key");
-        let answer = read_answer(request.send_json(&question("small")).await).await;
+        let answer = read_answer(request.send_json(&completion_body("small")).await).await;
         expect_that!(answer.status, eq(200), "{}", answer.body);
         let mut router = bench.boxes.get_mut("ikeja-1").unwrap().router.take().unwrap();
         router.signal(libc::SIGTERM);
         actix_rt::time::sleep(NOTICE + Duration::from_secs(1)).await;
-        names.iter().for_each(|name| bench.boxes[*name].agent.as_ref().unwrap().thaw());
-        bench.wait_for("the router has ended", async || router.ended().is_some()).await;
-        expect_that!(router.ended(), some(eq(true)));
+        names.iter().for_each(|name| bench.boxes[*name].agent.as_ref().unwrap().resume());
+        bench.wait_for("the router has ended", async || router.exit_success().is_some()).await;
+        expect_that!(router.exit_success(), some(eq(true)));
         let id = answer.header("gatepier-request-id");
         bench.wait_for("the answer is billed", async || bench.ledger().await.contains_key(id)).await;
     };
@@ -439,12 +447,12 @@
         const KEYS: usize = 32;
         let bench = Bench::start(BenchPlan::default()).await;
         let agents = || bench.boxes.values().map(|running| running.agent.as_ref().unwrap());
-        agents().for_each(Process::freeze);
+        agents().for_each(Process::suspend);
         let keys: Vec<String> = (0..KEYS).map(|number| format!("mark-{number}")).collect();
         let first = join_all(keys.iter().map(|key| bench.bookmark("ikeja-1", key))).await;
         let refused = first.iter().filter(|answer| answer.outcome() == "not-run").count();
         expect_that!(refused, gt(0));
-        agents().for_each(Process::thaw);
+        agents().for_each(Process::resume);
         let mut probes = 0;
         bench.wait_for("requests are served again", async || {
             probes += 1;
@@ -462,7 +470,7 @@
         agent.signal(libc::SIGTERM);
         let callers = join_all((0..8).map(|caller| bookmark_until(&bench, caller, until)));
         let replacement = async {
-            bench.wait_for("the agent has ended", async || agent.ended().is_some()).await;
+            bench.wait_for("the agent has ended", async || agent.exit_success().is_some()).await;
             bench.spawn_agent("ikeja-1")
         };
         let (answers, _successor) = futures::join!(callers, replacement);
--- a/tests/replacing_soak.rs
+++ b/tests/replacing_soak.rs
@@ -5,9 +5,9 @@
 
 mod common;
 
-use common::{Bench, BenchPlan, KeptConnection, Process, Reply, run};
+use common::{Bench, BenchPlan, PersistentConnection, Process, RequestOutcome, run};
 use futures::future::join_all;
-use gatepier::lab::model::Behaviour;
+use gatepier::lab::model::ModelBehaviour;
 use googletest::prelude::*;
 use rand::rngs::StdRng;
 use rand::{Rng as _, SeedableRng as _};
@@ -60,14 +60,14 @@
 #[derive(Debug, Default)]
 struct Seen {
     served: usize,
-    not_served: Vec<(CallerPlan, Reply)>,
+    not_served: Vec<(CallerPlan, RequestOutcome)>,
     longest_connecting: Duration,
 }
 
 impl Seen {
-    async fn connect(&mut self, router: SocketAddr) -> KeptConnection {
+    async fn connect(&mut self, router: SocketAddr) -> PersistentConnection {
         let began = Instant::now();
-        let connection = KeptConnection::open(router).await;
+        let connection = PersistentConnection::open(router).await;
         self.longest_connecting = self.longest_connecting.max(began.elapsed());
         connection
     }
@@ -87,11 +87,18 @@
             }
             Asks::Streams => connection.stream().await,
         };
-        let leaves = !plan.keeps || !matches!(reply, Reply::Answered { closes: false, .. });
+        let leaves = !plan.keeps
+            || !matches!(
+                reply,
+                RequestOutcome::Answered {
+                    closes_connection: false,
+                    ..
+                }
+            );
         match reply.is_served() {
             true => seen.served += 1,
             // The connection had ended before: the caller was told to leave with its last answer.
-            false if reply == Reply::Unsent => {}
+            false if reply == RequestOutcome::NotSent => {}
             false => seen.not_served.push((plan, reply)),
         }
         let rest = rng.random_range(0..=plan.longest_rest_ms);
@@ -127,7 +134,7 @@
         routers.push(stopped);
         bench
             .wait_for("routers have drained", async || {
-                routers.retain_mut(|router| router.ended().is_none());
+                routers.retain_mut(|router| router.exit_success().is_none());
                 routers.len() < MOST_DRAINING
             })
             .await;
@@ -149,7 +156,7 @@
         let pause = rng.random_range(500..2500);
         actix_rt::time::sleep(Duration::from_millis(pause)).await;
         agent.signal(libc::SIGTERM);
-        let has_ended = async || agent.ended().is_some();
+        let has_ended = async || agent.exit_success().is_some();
         bench.wait_for("the agent has ended", has_ended).await;
         agent = bench.spawn_agent("ikeja-1");
         replaced += 1;
@@ -173,13 +180,13 @@
         ..BenchPlan::default()
     };
     let mut bench = Bench::start(plan).await;
-    let steady = Behaviour {
+    let steady = ModelBehaviour {
         tokens: rng.random_range(2..40),
         token_ms: 20,
-        ..Behaviour::default()
+        ..ModelBehaviour::default()
     };
     let models = bench.models.iter();
-    models.for_each(|model| model.stand_in.set("small/s1", steady));
+    models.for_each(|model| model.stand_in.set_behaviour("small/s1", steady));
     let first = bench.boxes.get_mut("ikeja-1").unwrap().router.take();
     let agent = match what {
         Replaced::Routers => None,
@@ -210,7 +217,7 @@
     if let Some((_agent, replaced)) = agents {
         println!("seed {seed}: {replaced} agents replaced");
         // While a box has no agent, what may not be repeated is refused.
-        not_served.retain(|(_, reply)| !reply.is_known());
+        not_served.retain(|(_, reply)| !reply.is_outcome_known());
     }
     expect_that!(not_served, is_empty(), "seed {seed}");
     expect_that!(longest, some(lt(LONGEST_CONNECTING)), "seed {seed}");
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -2,21 +2,21 @@
 
 mod common;
 
-use common::{Answer, Bench, BenchPlan, question, read_answer};
+use common::{Answer, Bench, BenchPlan, completion_body, read_answer};
 use googletest::prelude::*;
 
 async fn ask_in_session(bench: &Bench, name: &str, token: &str) -> Answer {
     let request = bench
         .request(name, "comics", "POST", "/v1/chat/completions")
         .insert_header(("gatepier-session", token));
-    read_answer(request.send_json(&question("small")).await).await
+    read_answer(request.send_json(&completion_body("small")).await).await
 }
 
 /// Starts sessions and returns the token and version of each.
 async fn start_sessions(bench: &Bench, count: usize) -> Vec<(String, String)> {
     let mut sessions = Vec::new();
     for _ in 0..count {
-        let answer = bench.ask("ikeja-1", "small").await;
+        let answer = bench.complete_as_comics("ikeja-1", "small").await;
         let token = answer.header("gatepier-session").to_owned();
         sessions.push((token, answer.header("gatepier-version").to_owned()));
     }
@@ -85,7 +85,7 @@
         let request = bench
             .request("ikeja-1", "tales", "POST", "/v1/chat/completions")
             .insert_header(("gatepier-session", token.as_str()));
-        let answer = read_answer(request.send_json(&question("small")).await).await;
+        let answer = read_answer(request.send_json(&completion_body("small")).await).await;
         expect_that!(answer.header("gatepier-version"), eq("small/s1"));
     };
 }
--- a/tests/spreading.rs
+++ b/tests/spreading.rs
@@ -257,7 +257,7 @@
 /// Opens a narrow link to a box, for streams and for datagrams, at one address.
 async fn narrow_link(proxy: &Proxy, target: SocketAddr) -> SocketAddr {
     let address = proxy.open("link", target).await.unwrap();
-    proxy.set("link", LinkMode::Narrow(NARROW_LINK_BYTES_PER_S));
+    proxy.set("link", LinkMode::Throttled(NARROW_LINK_BYTES_PER_S));
     pass_datagrams(address, target).await;
     address
 }
--- a/tests/stopping.rs
+++ b/tests/stopping.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::{Answer, Bench, BenchPlan, read_answer, streamed_question};
-use gatepier::lab::model::Behaviour;
+use common::{Answer, Bench, BenchPlan, read_answer, streaming_completion_body};
+use gatepier::lab::model::ModelBehaviour;
 use gatepier::lab::platform::ListChange;
 use googletest::prelude::*;
 use std::time::{Duration, Instant};
@@ -12,15 +12,15 @@
 const LEAVING_LIMIT: Duration = Duration::from_secs(5);
 
 fn slow_streams(bench: &Bench) {
-    let slow = Behaviour {
+    let slow = ModelBehaviour {
         tokens: 60,
         token_ms: 20,
-        ..Behaviour::default()
+        ..ModelBehaviour::default()
     };
     bench
         .models
         .iter()
-        .for_each(|model| model.stand_in.set("small/s1", slow));
+        .for_each(|model| model.stand_in.set_behaviour("small/s1", slow));
 }
 
 /// Streams answers through a box until told to stop, each over a connection of its own,
@@ -35,7 +35,8 @@
         let request = gatepier::http_client::fresh_client()
             .post(url)
             .bearer_auth("comics-key");
-        answers.push(read_answer(request.send_json(&streamed_question("small")).await).await);
+        answers
+            .push(read_answer(request.send_json(&streaming_completion_body("small")).await).await);
     }
     answers
 }
@@ -57,9 +58,9 @@
         let runs = bench.models[0].stand_in.runs();
         expect_that!(runs.iter().filter(|run| run.at.0 > limit).count(), eq(0));
         let before = runs.len();
-        bench.models.iter().for_each(|model| model.stand_in.set("small/s1", Behaviour::default()));
+        bench.models.iter().for_each(|model| model.stand_in.set_behaviour("small/s1", ModelBehaviour::default()));
         for _ in 0..20 {
-            bench.ask("ikeja-1", "small").await;
+            bench.complete_as_comics("ikeja-1", "small").await;
         }
         expect_that!(bench.models[0].stand_in.runs().len(), eq(before));
     };
@@ -84,8 +85,8 @@
         let cut: Vec<_> = answers.iter().filter(is_cut).collect();
         let stop = bench.log_lines("under_way");
         expect_that!(cut, is_empty(), "of {} answers, {stop}", answers.len());
-        bench.wait_for("the old router has ended", async || old.ended().is_some()).await;
-        expect_that!(old.ended(), some(eq(true)));
+        bench.wait_for("the old router has ended", async || old.exit_success().is_some()).await;
+        expect_that!(old.exit_success(), some(eq(true)));
     };
 
     agent_is_replaced_under_load_with_nothing_cut => async {
@@ -94,7 +95,7 @@
         bench.agent("ikeja-1").signal(libc::SIGTERM);
         let until = Instant::now() + Duration::from_secs(5);
         let streams = stream_on(&bench, "ikeja-1", until).await;
-        bench.wait_for_end_of_agent("ikeja-1").await;
+        bench.wait_for_agent_exit("ikeja-1").await;
         bench.start_agent("ikeja-1");
         let files = bench.boxes["ikeja-1"].files.clone();
         bench.wait_router_ready(&files).await;
--- a/tests/stopping_beside_load.rs
+++ b/tests/stopping_beside_load.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
-use common::{Answer, Bench, BenchPlan, read_answer, streamed_question};
+use common::{Answer, Bench, BenchPlan, read_answer, streaming_completion_body};
 use futures::future::join_all;
-use gatepier::lab::model::Behaviour;
+use gatepier::lab::model::ModelBehaviour;
 use googletest::prelude::*;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -45,7 +45,8 @@
     while Instant::now() < until {
         let client = gatepier::http_client::fresh_client();
         let request = client.post(&url).bearer_auth("comics-key");
-        answers.push(read_answer(request.send_json(&streamed_question("small")).await).await);
+        answers
+            .push(read_answer(request.send_json(&streaming_completion_body("small")).await).await);
     }
     answers
 }
@@ -57,13 +58,13 @@
         ..BenchPlan::default()
     };
     let mut bench = Bench::start(plan).await;
-    let slow = Behaviour {
+    let slow = ModelBehaviour {
         tokens: 60,
         token_ms: 20,
-        ..Behaviour::default()
+        ..ModelBehaviour::default()
     };
     let models = bench.models.iter();
-    models.for_each(|model| model.stand_in.set("small/s1", slow));
+    models.for_each(|model| model.stand_in.set_behaviour("small/s1", slow));
     let running = bench.boxes.get_mut("ikeja-1").unwrap();
     let mut old = running.router.take().unwrap();
     let _busy = BusyThreads::start();
@@ -82,9 +83,9 @@
     let is_cut = |answer: &&&Answer| !answer.whole || answer.status != 200;
     let cut: Vec<_> = answers.iter().filter(is_cut).collect();
     expect_that!(cut, is_empty(), "of {} answers", answers.len());
-    let has_ended = async || old.ended().is_some();
+    let has_ended = async || old.exit_success().is_some();
     bench.wait_for("the old router has ended", has_ended).await;
-    expect_that!(old.ended(), some(eq(true)));
+    expect_that!(old.exit_success(), some(eq(true)));
     let dropped = bench.log_lines("a connection is dropped while it is served");
     expect_that!(dropped, eq(""));
 }
