--- a/tests/common/callers.rs
+++ b/tests/common/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of a fleet, and the answers that they see.
+//! Sends requests to a fleet as its callers do, and reads the responses.
 
 use super::{Bench, RunningBox};
 use awc::Client;
@@ -8,39 +8,40 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// An answer as a test sees it.
+/// A response as received by the caller.
 #[derive(Debug, Clone)]
 pub struct Answer {
-    /// The status; zero if the connection broke before one came.
+    /// The HTTP status; zero if the connection broke before a status was received.
     pub status: u16,
-    /// The headers.
+    /// The response headers.
     pub headers: BTreeMap<String, String>,
-    /// The body as far as it came.
+    /// The part of the body that was received.
     pub body: String,
-    /// Whether the body came whole.
+    /// Whether the body is complete.
     pub whole: bool,
 }
 
 impl Answer {
-    /// Returns a header, or an empty text.
+    /// Returns a header, or an empty string if it is absent.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 
-    /// Returns what the answer says about whether the request ran.
+    /// Returns the `gatepier-outcome` header, which says whether the request ran.
     pub fn outcome(&self) -> &str {
         self.header("gatepier-outcome")
     }
 }
 
-/// What callers need of a bench; it stays as it is while processes come and go.
+/// The router addresses and the client of a bench. It does not borrow the bench, so callers can
+/// keep sending while the test starts and stops processes.
 pub struct CallerView {
     routers: BTreeMap<String, SocketAddr>,
     client: Client,
 }
 
 impl CallerView {
-    /// Returns a request to a box's router as an organisation.
+    /// Returns a request to a box's router with an organisation's credential.
     pub fn request(
         &self,
         name: &str,
@@ -66,19 +67,19 @@
         .bearer_auth(credential_of(organisation))
 }
 
-/// Returns the body of a completion request.
+/// Returns the body of a non-streaming completion request.
 pub fn completion_body(model: &str) -> Value {
     json!({ "model": model, "messages": [{ "role": "user", "content": "What happened so far?" }] })
 }
 
-/// Returns the body of a streamed completion request.
+/// Returns the body of a streaming completion request.
 pub fn streaming_completion_body(model: &str) -> Value {
     let mut body = completion_body(model);
     body["stream"] = Value::from(true);
     body
 }
 
-/// Reads an answer, however far it comes.
+/// Reads a response up to its end or to the first connection error.
 pub async fn read_answer(
     sent: Result<awc::ClientResponse, awc::error::SendRequestError>,
 ) -> Answer {
@@ -120,7 +121,7 @@
 }
 
 impl Bench {
-    /// Returns what callers need of the bench.
+    /// Returns a view of the bench for concurrent callers.
     pub fn caller_view(&self) -> CallerView {
         let router = |(name, running): (&String, &RunningBox)| (name.clone(), running.files.router);
         CallerView {
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Returns a request to a box's router as an organisation.
+    /// Returns a request to a box's router with an organisation's credential.
     pub fn request(
         &self,
         name: &str,
@@ -146,18 +147,18 @@
         )
     }
 
-    /// Asks a box for a completion.
+    /// Sends a completion request to a box as an organisation.
     pub async fn complete(&self, name: &str, organisation: &str, body: Value) -> Answer {
         let request = self.request(name, organisation, "POST", "/v1/chat/completions");
         read_answer(request.send_json(&body).await).await
     }
 
-    /// Asks a box for a completion of a model, as `comics`.
+    /// Sends a completion request for a model to a box as the organisation `comics`.
     pub async fn complete_as_comics(&self, name: &str, model: &str) -> Answer {
         self.complete(name, "comics", completion_body(model)).await
     }
 
-    /// Sends a bookmark, which may not be repeated, under a key.
+    /// Sends a bookmark, which is not idempotent, with an idempotency key.
     pub async fn bookmark(&self, name: &str, key: &str) -> Answer {
         let request = self
             .request(name, "comics", "POST", "/reader-api/bookmarks")
@@ -165,7 +166,7 @@
         read_answer(request.send_body("page 7").await).await
     }
 
-    /// Returns how often the services ran the request of a key.
+    /// Returns how many times the services executed the request with an idempotency key.
     pub fn bookmark_runs(&self, key: &str) -> usize {
         let runs = self
             .services
@@ -174,7 +175,7 @@
         runs.filter(|run| run.request_id == key).count()
     }
 
-    /// Returns the versions that the model upstreams ran, with how often.
+    /// Returns how many times the model upstreams ran each version.
     pub fn version_runs(&self) -> BTreeMap<String, usize> {
         let mut counts = BTreeMap::new();
         for run in self.models.iter().flat_map(|model| model.stand_in.runs()) {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A builder that starts a small fleet of real processes, with the stand-ins and the
-//! fault-injecting proxy in the test's own process.
+//! Test bench that starts a small fleet of real processes. The stand-ins and the
+//! fault-injecting proxy run in the test process.
 
 #![allow(dead_code, reason = "each test binary uses a part of the bench")]
 
@@ -32,14 +32,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The partner of every bench.
+/// The partner that owns every test fleet.
 pub const PARTNER: &str = "panelwave";
-/// How long a bench waits for a condition before the test fails.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// How long to wait for a condition before the test fails.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The bundle that a bench's operators put into force.
+/// The bundle that the operators activate by default.
 pub const BUNDLE: &str = r#"
 partner = "panelwave"
 
@@ -83,45 +83,45 @@
 cost_micros = 5
 "#;
 
-/// The processes of one box.
+/// One box and its running processes.
 pub struct RunningBox {
-    /// The box.
+    /// The box's addresses and settings files.
     pub files: FleetBox,
-    /// The agent, while it runs.
+    /// The agent process, if running.
     pub agent: Option<Process>,
-    /// The router, while it runs.
+    /// The router process, if running.
     pub router: Option<Process>,
 }
 
-/// An upstream's stand-in.
+/// A stand-in for a model engine.
 pub struct ModelUpstream {
-    /// Its name in the list.
+    /// Its name in the live list.
     pub name: String,
-    /// Its stand-in.
+    /// The stand-in server.
     pub stand_in: Arc<ModelStandIn>,
 }
 
-/// A plain service's stand-in.
+/// A stand-in for a server of a plain service.
 pub struct ServiceUpstream {
-    /// Its name in the list.
+    /// Its name in the live list.
     pub name: String,
-    /// Its stand-in.
+    /// The stand-in server.
     pub stand_in: Arc<ServiceStandIn>,
 }
 
-/// How large a bench is.
+/// Size and settings of a bench.
 pub struct BenchPlan {
-    /// The halls, each with its number of entry boxes.
+    /// Halls and the number of entry boxes in each.
     pub halls: Vec<(&'static str, usize)>,
-    /// Model upstreams in each hall.
+    /// Number of model upstreams in each hall.
     pub models: usize,
-    /// Servers of `reader-api` in each hall.
+    /// Number of `reader-api` servers in each hall.
     pub services: usize,
-    /// Lines that are added to each router's settings.
+    /// Lines appended to each router's settings.
     pub router_extra: String,
-    /// Lines that are added to each agent's settings.
+    /// Lines appended to each agent's settings.
     pub agent_extra: String,
-    /// Whether routers are started too.
+    /// Whether to start routers as well as agents.
     pub routers: bool,
 }
 
@@ -138,41 +138,41 @@
     }
 }
 
-/// A running fleet with its surroundings.
+/// A running fleet with stand-ins for the platform and the upstreams.
 pub struct Bench {
-    /// The fleet's files.
+    /// The fleet's settings, keys and certificates.
     pub fleet: Fleet,
-    /// The running boxes by name.
+    /// The boxes by name.
     pub boxes: BTreeMap<String, RunningBox>,
-    /// The store's stand-in.
+    /// The key-value store stand-in, shared by all halls.
     pub store: Arc<StoreStandIn>,
-    /// The list's stand-in of each hall, since addresses depend on the hall.
+    /// The live list stand-in of each hall; a box's address in the list differs by hall.
     pub platforms: BTreeMap<String, Arc<PlatformStandIn>>,
-    /// The proxy on all links. `store:BOX`, `list:BOX` and `rater:BOX` lead to the
-    /// platform, `HALL>BOX` from another hall to a box's agent, `up:NAME` to an upstream.
+    /// The fault-injecting proxy. Its links are `store:BOX`, `list:BOX` and `rater:BOX` to the
+    /// platform, `HALL>BOX` from another hall to a box's agent, and `up:NAME` to an upstream.
     pub proxy: Proxy,
-    /// The model upstreams.
+    /// The model upstreams of all halls.
     pub models: Vec<ModelUpstream>,
-    /// The plain services' upstreams.
+    /// The `reader-api` servers of all halls.
     pub services: Vec<ServiceUpstream>,
-    /// The client of tests.
+    /// The HTTP client used by the test.
     pub client: Client,
-    /// The bundle file.
+    /// The path of the bundle file that operators propose.
     pub bundle: PathBuf,
     store_address: SocketAddr,
     platform_addresses: BTreeMap<String, SocketAddr>,
-    log: PathBuf,
-    routers: bool,
-    direct: BTreeMap<String, SocketAddr>,
+    log_file: PathBuf,
+    starts_routers: bool,
+    stand_in_addresses: BTreeMap<String, SocketAddr>,
     _folder: tempfile::TempDir,
 }
 
-/// Runs a test's future on a system of its own.
+/// Runs a test's future on a new actix system.
 pub fn run(test: impl Future<Output = ()>) {
     actix_rt::System::new().block_on(test);
 }
 
-/// Defines tests by name, each an async block on a system of its own.
+/// Defines named tests from async blocks, each run on a new actix system.
 #[macro_export]
 macro_rules! cases {
     ($($(#[$meta:meta])* $name:ident => $body:expr;)+) => {
@@ -186,7 +186,7 @@
     };
 }
 
-/// Returns an address at which nothing listens.
+/// Returns an address on which nothing listens.
 pub fn unused_address() -> SocketAddr {
     free_address().unwrap()
 }
--- a/tests/common/operators.rs
+++ b/tests/common/operators.rs
@@ -1,4 +1,4 @@
-//! What operators do to a fleet, and what they read of it.
+//! Changes a fleet through the operators' command line and reads its status.
 
 use super::{Bench, PARTNER};
 use gatepier::lab::fleet::FleetBox;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 impl Bench {
-    /// Returns a client of a box's agent.
+    /// Returns a client of a box's agent with the operators' certificate.
     pub fn agent_client(&self, name: &str) -> gatepier::wire::client::WireClient {
         let read = |file: &str| std::fs::read(self.fleet.folder.join(file)).unwrap();
         let tls = gatepier::wire::tls::FleetTls::from_pem(
@@ -20,7 +20,7 @@
         gatepier::wire::client::WireClient::new(self.boxes[name].files.agent, tls.unwrap())
     }
 
-    /// Claims a key through an agent, and tells whether it was granted.
+    /// Claims an idempotency key through an agent and tells whether the claim was granted.
     pub async fn claim_key(&self, agent: &gatepier::wire::client::WireClient, id: &str) -> bool {
         use gatepier::claim::{AttemptId, ClaimKey, ClaimReply};
         use gatepier::wire::message::{ControlRequest, ControlResponse};
@@ -37,19 +37,19 @@
         matches!(answer, Ok(ControlResponse::Claim(ClaimReply::Granted)))
     }
 
-    /// Returns the two operators' command lines.
+    /// Returns the command lines of the two operators.
     pub fn operators(&self) -> Operators {
         Operators {
             settings: self.fleet.operators.clone(),
         }
     }
 
-    /// Runs the command line as one of the two operators.
+    /// Runs `gatepier` as one of the two operators.
     pub async fn operate(&self, operator: usize, args: &[&str]) -> Output {
         self.operators().operate(operator, args).await
     }
 
-    /// Runs the command line, which has to succeed, and returns what it printed.
+    /// Runs `gatepier`, asserts that it succeeds and returns its standard output.
     pub async fn operate_ok(&self, operator: usize, args: &[&str]) -> String {
         let output = self.operate(operator, args).await;
         let stderr = String::from_utf8_lossy(&output.stderr);
@@ -60,7 +60,7 @@
         String::from_utf8(output.stdout).unwrap()
     }
 
-    /// Proposes a bundle as the first operator and signs it off as the second.
+    /// Writes a bundle, proposes it as the first operator and signs it off as the second.
     pub async fn put_bundle_into_force(&self, text: &str) {
         std::fs::write(&self.bundle, text).unwrap();
         let file = self.bundle.to_str().unwrap();
@@ -68,7 +68,7 @@
         self.operate_ok(1, &["sign", file]).await;
     }
 
-    /// Waits until every running router is ready and every shard of claims grants.
+    /// Waits until every running router is ready and every claim shard grants claims.
     pub async fn wait_ready(&self) {
         for running in self
             .boxes
@@ -77,14 +77,16 @@
         {
             self.wait_router_ready(&running.files).await;
         }
-        self.wait_for("every shard grants", async || {
+        self.wait_for("every shard grants claims", async || {
             let shards = self.fleet_shards().await;
-            shards.is_some_and(|(owned, granting, wanted)| owned == wanted && granting == wanted)
+            shards.is_some_and(|(owned, granting, expected)| {
+                owned == expected && granting == expected
+            })
         })
         .await;
     }
 
-    /// Waits until a router tells its balancer that it is ready.
+    /// Waits until a router's readiness endpoint reports success.
     pub async fn wait_router_ready(&self, files: &FleetBox) {
         let url = format!("http://{}/ready", files.router_metrics);
         self.wait_for(&format!("{} is ready", files.name), async || {
@@ -94,7 +96,7 @@
         .await;
     }
 
-    /// Returns the shards owned, those that grant, and those that there should be.
+    /// Returns the number of owned shards, of shards that grant claims, and of expected shards.
     async fn fleet_shards(&self) -> Option<(u64, u64, u64)> {
         let statuses = self.statuses().await;
         let shards = |position: usize| -> u64 {
@@ -103,18 +105,18 @@
                 .filter_map(|status| status["shards"][position].as_u64())
                 .sum()
         };
-        let wanted = self.platforms.len() as u64 * u64::from(gatepier::claim::SHARDS_PER_HALL);
-        Some((shards(0), shards(1), wanted))
+        let expected = self.platforms.len() as u64 * u64::from(gatepier::claim::SHARDS_PER_HALL);
+        Some((shards(0), shards(1), expected))
     }
 
-    /// Returns how the agents stand, by the command line.
+    /// Returns the status of all agents as reported by `gatepier status`.
     pub async fn statuses(&self) -> Vec<Value> {
         let output = self.operate_ok(0, &["--json", "status"]).await;
         let statuses: Value = serde_json::from_str(&output).unwrap();
         statuses.as_array().unwrap().clone()
     }
 
-    /// Returns one agent's status.
+    /// Returns the status of one box's agent.
     pub async fn status_of(&self, name: &str) -> Option<Value> {
         self.statuses()
             .await
@@ -122,7 +124,7 @@
             .find(|status| status["member"]["box_name"] == name)
     }
 
-    /// Returns the ledger's bills by key, as the command line sums them up.
+    /// Returns the bills in the ledger by idempotency key.
     pub async fn ledger(&self) -> BTreeMap<String, gatepier::claim::Bill> {
         let store = gatepier::store::etcd::EtcdStore::new(self.store_address);
         let ledger = gatepier::ledger::read_ledger(&store, PARTNER)
@@ -134,7 +136,7 @@
             .collect()
     }
 
-    /// Waits until every agent that runs has a generation at the least.
+    /// Waits until the agents of the named boxes have a generation or a newer one.
     pub async fn wait_generation(&self, names: &[&str], generation: u64) {
         self.wait_for(
             &format!("generation {generation} is in force on {names:?}"),
@@ -152,20 +154,20 @@
     }
 }
 
-/// The two operators' command lines.
+/// The command lines of the two operators.
 pub struct Operators {
     settings: Vec<PathBuf>,
 }
 
 impl Operators {
-    /// Runs the command line as one of the two.
+    /// Runs `gatepier` as one of the two operators.
     pub async fn operate(&self, operator: usize, args: &[&str]) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_gatepier"));
         command
             .arg("--settings")
             .arg(&self.settings[operator])
             .args(args);
-        // The stand-ins run on this thread, so it must not wait.
+        // The stand-ins are served from this thread, so it must not block.
         actix_rt::task::spawn_blocking(move || command.output().unwrap())
             .await
             .unwrap()
--- a/tests/common/persistent_connection.rs
+++ b/tests/common/persistent_connection.rs
@@ -1,4 +1,4 @@
-//! Callers that keep one connection and tell what became of each request on it.
+//! Callers that reuse one connection and record the outcome of each request on it.
 
 use super::streaming_completion_body;
 use bytes::Bytes;
@@ -11,29 +11,29 @@
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 
-/// What became of a request on a kept connection.
+/// The outcome of a request on a persistent connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// An answer came whole.
+    /// A complete response was received.
     Answered {
-        /// Its status.
+        /// The HTTP status.
         status: u16,
-        /// What it says about whether the request ran.
+        /// The `gatepier-outcome` header, which says whether the request ran.
         outcome: String,
-        /// Whether it asks the caller to leave the connection.
+        /// Whether it carries `connection: close`.
         closes_connection: bool,
-        /// The body of a refusal, empty for an answer of an upstream.
+        /// The body of a refusal; empty for status 200.
         refusal: String,
     },
-    /// The connection had ended before a byte of the request was written.
+    /// The connection was closed before any byte of the request was written.
     NotSent,
-    /// The connection ended with the request on its way, so nobody knows whether it ran.
+    /// The connection was closed after the request was sent, so it is unknown whether it ran.
     ConnectionLost(String),
 }
 
 impl RequestOutcome {
-    /// Tells whether the caller knows what became of its request: it was served, it is known not
-    /// to have run, or it was never sent.
+    /// Tells whether the caller knows if its request ran: it was served, it was reported as not
+    /// run, or it was never sent.
     pub fn is_outcome_known(&self) -> bool {
         match self {
             Self::Answered { status: 200, .. } | Self::NotSent => true,
@@ -42,13 +42,13 @@
         }
     }
 
-    /// Tells whether the request was served.
+    /// Tells whether the request was answered with status 200.
     pub fn is_served(&self) -> bool {
         matches!(self, Self::Answered { status: 200, .. })
     }
 }
 
-/// A connection that its caller keeps.
+/// An HTTP/1.1 connection that is reused for all requests of a caller.
 pub struct PersistentConnection {
     router: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
@@ -63,22 +63,22 @@
         Self { router, sender }
     }
 
-    /// Reads a manifest of the plain service as `comics`.
+    /// Reads a manifest from the plain service as the organisation `comics`.
     pub async fn read_manifest(&mut self) -> RequestOutcome {
         let request = Request::get("/reader-api/manifest");
         self.send(request, Bytes::new()).await
     }
 
-    /// Sends a bookmark, which may not be repeated, under a key.
+    /// Sends a bookmark, which is not idempotent, with an idempotency key.
     pub async fn bookmark(&mut self, key: &str) -> RequestOutcome {
         let request = Request::post("/reader-api/bookmarks").header("idempotency-key", key);
         self.send(request, Bytes::from_static(b"page 7")).await
     }
 
-    /// Asks for a stream of the small model.
+    /// Requests a streaming completion from the small model.
     pub async fn stream(&mut self) -> RequestOutcome {
-        let question = streaming_completion_body("small").to_string();
-        self.send(Request::post("/v1/chat/completions"), question.into())
+        let body = streaming_completion_body("small").to_string();
+        self.send(Request::post("/v1/chat/completions"), body.into())
             .await
     }
 
@@ -89,39 +89,39 @@
             .body(Full::new(body))
             .unwrap();
         match self.sender.send_request(request).await {
-            Ok(response) => read(response).await,
+            Ok(response) => read_outcome(response).await,
             Err(err) if err.is_canceled() => RequestOutcome::NotSent,
             Err(err) => RequestOutcome::ConnectionLost(err.to_string()),
         }
     }
 }
 
-async fn read(response: Response<hyper::body::Incoming>) -> RequestOutcome {
+async fn read_outcome(response: Response<hyper::body::Incoming>) -> RequestOutcome {
     let status = response.status().as_u16();
-    let text = |name: &str| {
+    let header = |name: &str| {
         let value = response.headers().get(name);
         value
             .and_then(|value| value.to_str().ok())
             .unwrap_or("")
             .to_owned()
     };
-    let outcome = text("gatepier-outcome");
-    let closes_connection = text(CONNECTION.as_str()).eq_ignore_ascii_case("close");
+    let outcome = header("gatepier-outcome");
+    let closes_connection = header(CONNECTION.as_str()).eq_ignore_ascii_case("close");
     match response.into_body().collect().await {
-        Ok(whole) => RequestOutcome::Answered {
+        Ok(body) => RequestOutcome::Answered {
             status,
             outcome,
             closes_connection,
             refusal: match status {
                 200 => String::new(),
-                _ => String::from_utf8_lossy(&whole.to_bytes()).into_owned(),
+                _ => String::from_utf8_lossy(&body.to_bytes()).into_owned(),
             },
         },
-        Err(err) => RequestOutcome::ConnectionLost(format!("the body: {err}")),
+        Err(err) => RequestOutcome::ConnectionLost(format!("cannot read the response body: {err}")),
     }
 }
 
-/// Connects to a router by HTTP/2, without TLS and without asking what it speaks.
+/// Connects to a router by HTTP/2 over cleartext TCP with prior knowledge.
 pub async fn connect_over_h2(router: SocketAddr) -> h2::client::SendRequest<Bytes> {
     let stream = TcpStream::connect(router).await.unwrap();
     let (sender, connection) = h2::client::handshake(stream).await.unwrap();
--- a/tests/common/process.rs
+++ b/tests/common/process.rs
@@ -1,11 +1,11 @@
-//! One process of the system under test.
+//! A process of the system under test.
 
 use std::path::PathBuf;
 use std::process::Child;
 use std::process::Command;
 use std::process::Stdio;
 
-/// One process of the system.
+/// A router or agent process; killed on drop.
 pub struct Process {
     child: Child,
 }
@@ -31,8 +31,8 @@
     /// Sends a signal to the process.
     pub fn signal(&self, signal: i32) {
         let id = i32::try_from(self.child.id()).unwrap();
-        // SAFETY: The call has no memory effects, and the child is not reaped yet, so the
-        // id is its own.
+        // SAFETY: The call has no memory effects, and the child has not been reaped, so its
+        // process id has not been reused.
         unsafe { libc::kill(id, signal) };
     }
 
@@ -42,17 +42,17 @@
         let _ = self.child.wait();
     }
 
-    /// Freezes the process.
+    /// Suspends the process (`SIGSTOP`).
     pub fn suspend(&self) {
         self.signal(libc::SIGSTOP);
     }
 
-    /// Lets a frozen process go on.
+    /// Resumes a suspended process (`SIGCONT`).
     pub fn resume(&self) {
         self.signal(libc::SIGCONT);
     }
 
-    /// Returns the memory in kilobytes that the process holds.
+    /// Returns the resident set size in kilobytes.
     pub fn resident_kilobytes(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status
@@ -62,10 +62,10 @@
         line.split_whitespace().nth(1).unwrap().parse().unwrap()
     }
 
-    /// Returns the processor time in seconds that the process has used so far.
+    /// Returns the CPU time in seconds, user and system, used so far.
     pub fn cpu_seconds(&self) -> f64 {
-        const TICKS_A_SECOND: f64 = 100.0;
-        const USER_TIME: usize = 11;
+        const TICKS_PER_SECOND: f64 = 100.0;
+        const USER_TIME_FIELD: usize = 11;
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         let fields: Vec<&str> = stat
             .rsplit(')')
@@ -74,10 +74,10 @@
             .split_whitespace()
             .collect();
         let ticks = |position: usize| fields[position].parse::<f64>().unwrap();
-        (ticks(USER_TIME) + ticks(USER_TIME + 1)) / TICKS_A_SECOND
+        (ticks(USER_TIME_FIELD) + ticks(USER_TIME_FIELD + 1)) / TICKS_PER_SECOND
     }
 
-    /// Tells whether the process has ended, and whether in success.
+    /// Returns whether the process exited with success, or nothing while it runs.
     pub fn exit_success(&mut self) -> Option<bool> {
         self.child
             .try_wait()
--- a/tests/common/scripted_upstream.rs
+++ b/tests/common/scripted_upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream whose answers a test scripts as text.
+//! An upstream stand-in whose raw HTTP responses are scripted by the test.
 
 use super::{Bench, BenchPlan};
 use gatepier::lab::platform::ListChange;
@@ -13,34 +13,34 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What an upstream does with a request.
+/// How the upstream reacts to a request.
 #[derive(Debug, Clone)]
 pub enum Reaction {
-    /// Writes an answer.
+    /// Writes a response.
     Answer(String),
-    /// Ends the whole upstream: all connections are reset, and none is taken any more.
+    /// Crashes the upstream: all connections are reset and no new ones are accepted.
     Crash,
 }
 
-type React = dyn Fn(&str) -> Reaction;
+type RequestHandler = dyn Fn(&str) -> Reaction;
 
-/// The stand-in.
+/// A scripted upstream server.
 pub struct ScriptedUpstream {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     crashed: Rc<watch::Sender<bool>>,
     received: Rc<Cell<usize>>,
 }
 
 impl ScriptedUpstream {
-    /// Starts an upstream that reacts to the text of each request.
+    /// Starts an upstream that calls `react` with the text of each request.
     pub async fn start(react: impl Fn(&str) -> Reaction + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let crashed = Rc::new(watch::Sender::new(false));
         let received = Rc::new(Cell::new(0));
         let (ends, counted) = (crashed.clone(), received.clone());
-        let react: Rc<React> = Rc::new(react);
+        let react: Rc<RequestHandler> = Rc::new(react);
         actix_rt::spawn(async move {
             let mut ended = ends.subscribe();
             loop {
@@ -66,33 +66,33 @@
         *self.crashed.borrow()
     }
 
-    /// Returns the number of requests that reached it.
+    /// Returns the number of complete requests received.
     pub fn received(&self) -> usize {
         self.received.get()
     }
 }
 
-/// Serves a connection until the upstream crashes.
+/// Serves a connection until it is closed or the upstream crashes.
 async fn serve(
     mut stream: TcpStream,
-    react: Rc<React>,
+    react: Rc<RequestHandler>,
     crashed: Rc<watch::Sender<bool>>,
     received: Rc<Cell<usize>>,
 ) {
     let mut ended = crashed.subscribe();
     let mut buf = Vec::new();
-    let mut part = [0; 4096];
+    let mut chunk = [0; 4096];
     loop {
         let read = tokio::select! {
             _ = ended.wait_for(|crashed| *crashed) => break,
-            read = stream.read(&mut part) => read.unwrap_or(0),
+            read = stream.read(&mut chunk) => read.unwrap_or(0),
         };
         if read == 0 {
             return;
         }
-        buf.extend_from_slice(&part[..read]);
+        buf.extend_from_slice(&chunk[..read]);
         let text = String::from_utf8_lossy(&buf).into_owned();
-        if !is_whole(&text) {
+        if !is_complete_request(&text) {
             continue;
         }
         buf.clear();
@@ -113,7 +113,7 @@
     socket.set_linger(Some(Duration::ZERO)).unwrap();
 }
 
-fn is_whole(text: &str) -> bool {
+fn is_complete_request(text: &str) -> bool {
     let Some((head, body)) = text.split_once("\r\n\r\n") else {
         return false;
     };
@@ -125,8 +125,8 @@
     body.len() >= length
 }
 
-/// Writes an answer with a completion, which does for a plain service too.
-pub fn answer(status: u16, more: &[(&str, &str)]) -> Reaction {
+/// Returns a response with a completion as its body; plain services can use it too.
+pub fn answer(status: u16, extra_headers: &[(&str, &str)]) -> Reaction {
     let body = json!({
         "object": "chat.completion", "model": "small/s1",
         "choices": [{
@@ -137,7 +137,7 @@
     })
     .to_string();
     let mut text = format!("HTTP/1.1 {status} x\r\ncontent-type: application/json\r\n");
-    for (name, value) in more {
+    for (name, value) in extra_headers {
         text.push_str(&format!("{name}: {value}\r\n"));
     }
     text.push_str(&format!("content-length: {}\r\n\r\n{body}", body.len()));
@@ -145,7 +145,7 @@
 }
 
 impl Bench {
-    /// Starts two routers whose lists hold no upstream.
+    /// Starts two boxes without any upstream in the live list.
     pub async fn start_without_upstreams() -> Self {
         Self::start(BenchPlan {
             models: 0,
@@ -155,7 +155,7 @@
         .await
     }
 
-    /// Lists scripted upstreams of a service, with versions if they are engines.
+    /// Adds scripted upstreams of a service to the live list; model engines have versions.
     pub fn list_scripted(&self, service: &str, versions: &[&str], upstreams: &[&ScriptedUpstream]) {
         let listed = upstreams.iter().enumerate().map(|(number, upstream)| {
             let versions = versions
--- a/tests/common/startup.rs
+++ b/tests/common/startup.rs
@@ -1,8 +1,8 @@
-//! Starts a fleet with its surroundings, and changes which processes and upstreams there are.
+//! Starts a fleet with its stand-ins, and adds or restarts processes and upstreams.
 
 use super::{
-    BUNDLE, Bench, BenchPlan, ModelUpstream, PARTNER, PATIENCE, POLL, Process, RunningBox,
-    ServiceUpstream,
+    BUNDLE, Bench, BenchPlan, ModelUpstream, PARTNER, POLL_INTERVAL, Process, RunningBox,
+    ServiceUpstream, WAIT_TIMEOUT,
 };
 use gatepier::lab::fleet::Fleet;
 use gatepier::lab::fleet::FleetPlan;
@@ -24,7 +24,7 @@
 use std::time::Instant;
 
 impl Bench {
-    /// Starts a fleet, puts the bundle into force and waits until every router serves.
+    /// Starts a fleet, activates the default bundle and waits until every router is ready.
     pub async fn start(plan: BenchPlan) -> Self {
         let bench = Self::start_without_bundle(plan).await;
         bench.put_bundle_into_force(BUNDLE).await;
@@ -32,7 +32,7 @@
         bench
     }
 
-    /// Starts a fleet whose operators have not changed anything yet.
+    /// Starts a fleet in which no bundle has been proposed.
     pub async fn start_without_bundle(plan: BenchPlan) -> Self {
         let folder = tempfile::tempdir().unwrap();
         let store = Arc::new(StoreStandIn::default());
@@ -63,9 +63,9 @@
             bundle,
             store_address,
             platform_addresses: BTreeMap::new(),
-            log: folder.path().join("log.jsonl"),
-            routers: plan.routers,
-            direct: BTreeMap::new(),
+            log_file: folder.path().join("log.jsonl"),
+            starts_routers: plan.routers,
+            stand_in_addresses: BTreeMap::new(),
             _folder: folder,
         };
         for (hall, _) in &plan.halls {
@@ -94,14 +94,14 @@
         bench
     }
 
-    /// Changes the list of every hall in the same way.
+    /// Applies the same change to the live list of every hall.
     pub fn change_list(&self, change: &ListChange) {
         for platform in self.platforms.values() {
             platform.change(change.clone());
         }
     }
 
-    /// Adds a box, lists it and starts its processes.
+    /// Adds a box to the fleet and the live lists, and starts its processes.
     pub async fn add_box(&mut self, name: &str, hall: &str) {
         let platform = self.platform_addresses[hall];
         let link = async |kind: &str, target| {
@@ -135,12 +135,12 @@
         };
         self.boxes.insert(name.to_owned(), running);
         self.start_agent(name);
-        if self.routers {
+        if self.starts_routers {
             self.start_router(name);
         }
     }
 
-    /// Adds a model upstream with all versions loaded.
+    /// Adds a model upstream that serves all versions.
     pub async fn add_model(&mut self, name: &str, hall: &str) {
         let stand_in = Arc::new(ModelStandIn::default());
         let address = self.link_upstream(name, serve(stand_in.clone(), 1)).await;
@@ -153,7 +153,7 @@
         });
     }
 
-    /// Adds a server of `reader-api`.
+    /// Adds a `reader-api` server.
     pub async fn add_service(&mut self, name: &str, hall: &str) {
         let stand_in = Arc::new(ServiceStandIn::default());
         let address = self.link_upstream(name, serve(stand_in.clone(), 1)).await;
@@ -170,17 +170,17 @@
         });
     }
 
-    /// Remembers where an upstream's stand-in listens, and returns where boxes reach it: a link
-    /// of the proxy.
+    /// Opens a proxy link to an upstream's stand-in and returns the address of the link, which
+    /// boxes use. The stand-in's own address is recorded.
     async fn link_upstream(&mut self, name: &str, stand_in: SocketAddr) -> SocketAddr {
-        self.direct.insert(name.to_owned(), stand_in);
+        self.stand_in_addresses.insert(name.to_owned(), stand_in);
         let link = format!("up:{name}");
         self.proxy.open(&link, stand_in).await.unwrap()
     }
 
-    /// Returns the address of an upstream's stand-in itself.
+    /// Returns the address of an upstream's stand-in, bypassing the proxy.
     pub fn stand_in_address(&self, name: &str) -> SocketAddr {
-        self.direct[name]
+        self.stand_in_addresses[name]
     }
 
     /// Returns the store's address.
@@ -188,8 +188,8 @@
         self.store_address
     }
 
-    /// Lists a service's and a model's stand-in by their own addresses, without the proxy,
-    /// and waits until the first box uses them.
+    /// Lists a service's and a model's stand-in by their own wiring, bypassing the proxy, and
+    /// waits until the hall's first box has read that revision of the list.
     pub async fn list_without_proxy(&self, service: &str, model: &str, hall: &str) {
         let versions = ["small/s1", "small/s2", "large/l1"];
         let boxes = vec![
@@ -210,14 +210,14 @@
         ];
         self.change_list(&ListChange::Put(boxes));
         let revision = self.platforms[hall].revision();
-        self.wait_for("the list is known", async || {
+        self.wait_for("the changed list has been read", async || {
             let status = self.status_of(&format!("{hall}-1")).await;
             status.is_some_and(|status| status["list_revision"].as_u64() == Some(revision))
         })
         .await;
     }
 
-    /// Lists a server of `reader-api` that the bench does not run.
+    /// Lists a `reader-api` server that is not run by the bench.
     pub fn list_service(&self, name: &str, hall: &str, address: SocketAddr) {
         self.change_list(&ListChange::Put(vec![listed(
             name,
@@ -228,21 +228,25 @@
         )]));
     }
 
-    /// Waits until a box's agent has ended, and in success.
+    /// Waits until a box's agent has exited, and asserts that it exited with success.
     pub async fn wait_for_agent_exit(&mut self, name: &str) {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         let succeeded = loop {
             if let Some(succeeded) = self.agent(name).exit_success() {
                 break succeeded;
             }
             assert!(
                 Instant::now() < deadline,
-                "the agent does not end\n{}",
+                "timed out waiting for the agent to exit\n{}",
                 self.log_tail()
             );
-            actix_rt::time::sleep(POLL).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         };
-        assert!(succeeded, "the agent ended in failure\n{}", self.log_tail());
+        assert!(
+            succeeded,
+            "the agent exited with failure\n{}",
+            self.log_tail()
+        );
         self.boxes.get_mut(name).unwrap().agent = None;
     }
 
@@ -252,11 +256,11 @@
         self.boxes.get_mut(name).unwrap().agent = Some(agent);
     }
 
-    /// Starts an agent on a box's addresses.
+    /// Starts an agent process with a box's settings and returns it.
     pub fn spawn_agent(&self, name: &str) -> Process {
         let binary = env!("CARGO_BIN_EXE_gatepier-agent");
         let settings = &self.boxes[name].files.agent_settings;
-        Process::start(binary, settings, &self.log)
+        Process::start(binary, settings, &self.log_file)
     }
 
     /// Starts a box's router.
@@ -265,20 +269,21 @@
         self.boxes.get_mut(name).unwrap().router = Some(router);
     }
 
-    /// Starts one more router on a box's addresses.
+    /// Starts a router process with a box's settings and returns it.
     pub fn spawn_router(&self, name: &str) -> Process {
         let binary = env!("CARGO_BIN_EXE_gatepier-router");
         let settings = &self.boxes[name].files.router_settings;
-        Process::start(binary, settings, &self.log)
+        Process::start(binary, settings, &self.log_file)
     }
 
-    /// Starts a router on the addresses of a box that has one, and returns it once it is ready.
+    /// Starts a second router on the wiring of a box, and returns it once it is ready to take
+    /// over from the first.
     pub async fn start_successor(&self, name: &str) -> Process {
-        const READY: &str = "\"text\":\"ready\"";
-        let ready = self.log_count(READY);
+        const READY_LOG: &str = "\"text\":\"ready\"";
+        let earlier = self.log_count(READY_LOG);
         let successor = self.spawn_router(name);
         self.wait_for("the successor is ready", async || {
-            self.log_count(READY) > ready
+            self.log_count(READY_LOG) > earlier
         })
         .await;
         successor
@@ -294,13 +299,13 @@
         self.boxes.get_mut(name).unwrap().router.as_mut().unwrap()
     }
 
-    /// Sets the store's faults.
+    /// Sets the faults that the store injects.
     pub fn set_store_faults(&self, faults: StoreFaults) {
         self.store.set_faults(faults);
     }
 }
 
-fn any_address() -> SocketAddr {
+fn any_loopback_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -309,7 +314,7 @@
 }
 
 fn serve<S: server::StandIn>(stand_in: Arc<S>, workers: usize) -> SocketAddr {
-    let listener = server::listen(any_address()).unwrap();
+    let listener = server::listen(any_loopback_port()).unwrap();
     let address = listener.local_addr().unwrap();
     drop(server::serve(listener, stand_in, workers).unwrap());
     address
