--- a/src/demo.rs
+++ b/src/demo.rs
@@ -1,45 +1,46 @@
-//! The demo: both partners in one process, on threads, with stand-ins around them.
+//! The demo: the fleets of both partners in one process, on threads, with stand-ins for all
+//! external systems.
 //!
-//! It drives the same code as the daemons over real sockets, goes through a bundle's
-//! life, and checks the promises from what the stand-ins recorded.
+//! It runs the code of the daemons over real sockets, takes a bundle through proposal, roll-out and
+//! withdrawal, and checks the guarantees against the records of the stand-ins.
 
-mod checks;
+mod environment;
+mod guarantees;
 mod requests;
-mod stage;
 
 use crate::cli::{Command, Options};
 use crate::error::{Error, Result};
 use crate::lab::proxy::LinkMode;
 use crate::name::VersionName;
-use checks::Checks;
-use requests::{Sent, send_mixed};
-use stage::{Partner, Stage};
+use environment::{Environment, Partner};
+use guarantees::GuaranteeChecker;
+use requests::{RequestRecord, send_mixed};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
 const REQUESTS_PER_ROUND: usize = 120;
-const PATIENCE: Duration = Duration::from_secs(10);
-const POLL: Duration = Duration::from_millis(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Runs the demo and tells whether every promise was kept.
+/// Runs the demo and tells whether every guarantee held.
 pub fn run(serve: bool) -> Result<bool> {
-    actix_rt::System::new().block_on(run_stages(serve))
+    actix_rt::System::new().block_on(run_demo(serve))
 }
 
-/// Prints a line of progress with the time since the start.
+/// Prints a progress line with the time since the start.
 fn progress(start: Instant, line: &str) {
     println!("{:>6.2}s  {line}", start.elapsed().as_secs_f64());
 }
 
-async fn run_stages(serve: bool) -> Result<bool> {
+async fn run_demo(serve: bool) -> Result<bool> {
     let start = Instant::now();
     progress(
         start,
         "starting both partners: 4 boxes each in 2 halls, with stand-ins around them",
     );
-    let stage = Stage::start().await?;
-    for partner in &stage.partners {
+    let environment = Environment::start().await?;
+    for partner in &environment.partners {
         put_bundle_into_force(partner).await?;
         wait_until_ready(partner).await?;
         progress(
@@ -51,29 +52,29 @@
         );
     }
     if serve {
-        return serve_on(&stage, start).await;
+        return serve_until_stopped(&environment, start).await;
     }
     let mut sent = Vec::new();
-    sent.extend(round(&stage, start, "mixed requests").await);
-    for partner in &stage.partners {
-        roll_and_withdraw(partner, &stage, start, &mut sent).await?;
+    sent.extend(send_round(&environment, start, "mixed requests").await);
+    for partner in &environment.partners {
+        roll_and_withdraw(partner, &environment, start, &mut sent).await?;
     }
-    cut_and_heal(&stage, start, &mut sent).await?;
-    let kept = Checks::new(&stage, &sent).report().await?;
+    partition_and_restore(&environment, start, &mut sent).await?;
+    let all_hold = GuaranteeChecker::new(&environment, &sent).report().await?;
     progress(
         start,
-        if kept {
+        if all_hold {
             "every promise was kept"
         } else {
             "A PROMISE WAS BROKEN"
         },
     );
-    Ok(kept)
+    Ok(all_hold)
 }
 
-async fn round(stage: &Stage, start: Instant, what: &str) -> Vec<Sent> {
+async fn send_round(environment: &Environment, start: Instant, what: &str) -> Vec<RequestRecord> {
     let mut sent = Vec::new();
-    for partner in &stage.partners {
+    for partner in &environment.partners {
         sent.extend(send_mixed(partner, REQUESTS_PER_ROUND).await);
     }
     let answered = sent.iter().filter(|sent| sent.status == 200).count();
@@ -101,12 +102,12 @@
 }
 
 async fn wait_until(what: &str, mut holds: impl AsyncFnMut() -> bool) -> Result<()> {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !holds().await {
         if Instant::now() >= deadline {
-            return Err(Error::Refused(format!("in vain waited until {what}")));
+            return Err(Error::Refused(format!("timed out waiting until {what}")));
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
@@ -131,8 +132,8 @@
     .await
 }
 
-/// Waits until every agent has the newest generation.
-async fn wait_in_force(partner: &Partner, generation: u64) -> Result<()> {
+/// Waits until every agent has a generation of the configuration.
+async fn wait_until_in_force(partner: &Partner, generation: u64) -> Result<()> {
     wait_until("the change is in force", async || {
         let settings = partner.fleet.operators[0].clone();
         let options = Options {
@@ -154,22 +155,22 @@
 
 async fn roll_and_withdraw(
     partner: &Partner,
-    stage: &Stage,
+    environment: &Environment,
     start: Instant,
-    sent: &mut Vec<Sent>,
+    sent: &mut Vec<RequestRecord>,
 ) -> Result<()> {
     let version = &partner.second_version;
     operate(partner, 0, Command::Roll(version.clone(), 50)).await?;
-    wait_in_force(partner, 3).await?;
+    wait_until_in_force(partner, 3).await?;
     progress(
         start,
         &format!("{}: {version} rolled out to 50 %", partner.name()),
     );
-    sent.extend(round(stage, start, "mixed requests").await);
+    sent.extend(send_round(environment, start, "mixed requests").await);
     let began = Instant::now();
     operate(partner, 1, Command::Withdraw(version.clone())).await?;
-    wait_in_force(partner, 4).await?;
-    partner.note_withdrawal(version);
+    wait_until_in_force(partner, 4).await?;
+    partner.record_withdrawal(version);
     let took = began.elapsed().as_millis();
     progress(
         start,
@@ -178,33 +179,37 @@
             partner.name()
         ),
     );
-    sent.extend(round(stage, start, "mixed requests").await);
+    sent.extend(send_round(environment, start, "mixed requests").await);
     Ok(())
 }
 
-async fn cut_and_heal(stage: &Stage, start: Instant, sent: &mut Vec<Sent>) -> Result<()> {
-    let partner = &stage.partners[0];
+async fn partition_and_restore(
+    environment: &Environment,
+    start: Instant,
+    sent: &mut Vec<RequestRecord>,
+) -> Result<()> {
+    let partner = &environment.partners[0];
     let hall = &partner.fleet.boxes[0].hall;
     let links = [format!("store:{hall}"), format!("list:{hall}")];
     links
         .iter()
-        .for_each(|link| stage.proxy.set(link, LinkMode::Stalled));
+        .for_each(|link| environment.proxy.set(link, LinkMode::Stalled));
     progress(
         start,
         &format!("{}: hall {hall} is cut off from the store", partner.name()),
     );
-    sent.extend(round(stage, start, "mixed requests").await);
+    sent.extend(send_round(environment, start, "mixed requests").await);
     links
         .iter()
-        .for_each(|link| stage.proxy.set(link, LinkMode::Open));
+        .for_each(|link| environment.proxy.set(link, LinkMode::Open));
     progress(start, &format!("{}: hall {hall} is healed", partner.name()));
     Ok(())
 }
 
-/// Stays up and shows how to try the system by hand.
-async fn serve_on(stage: &Stage, start: Instant) -> Result<bool> {
+/// Prints commands to try the system and serves until the process is told to stop.
+async fn serve_until_stopped(environment: &Environment, start: Instant) -> Result<bool> {
     progress(start, "serving until interrupted; try:");
-    for partner in &stage.partners {
+    for partner in &environment.partners {
         let router = partner.fleet.boxes[0].router;
         let settings: PathBuf = partner.fleet.operators[0].clone();
         let organisation = &partner.organisations[0];
@@ -223,7 +228,7 @@
     Ok(true)
 }
 
-/// Returns a version's name, which is known to be well-formed.
+/// Parses a version name of the demo, which is known to be well-formed.
 fn version(text: &str) -> VersionName {
     VersionName::parse(text).expect("the demo's versions are well-formed")
 }
--- a/src/demo/stage.rs
+++ b/src/demo/environment.rs
@@ -1,9 +1,9 @@
-//! The demo's processes, as threads, and the stand-ins around them.
+//! Starts the demo's agents and routers as threads, and the stand-ins for external systems.
 
 use crate::agent::Agent;
 use crate::clock::{Now, WallTime};
 use crate::error::{Error, Result};
-use crate::lab::fleet::{Fleet, FleetBox, FleetPlan, Wiring};
+use crate::lab::fleet::{Fleet, FleetBox, FleetPlan, PlatformAddresses};
 use crate::lab::model::{ModelBehaviour, ModelStandIn};
 use crate::lab::platform::{ListChange, PlatformStandIn};
 use crate::lab::proxy::Proxy;
@@ -22,11 +22,11 @@
 
 const BOXES_PER_HALL: usize = 2;
 const MODELS_PER_HALL: usize = 2;
-/// The part of the cheap versions' answers that are good, so that cascades step up.
-const CHEAP_QUALITY: f64 = 0.9;
+/// The fraction of good answers of the cheaper versions; bad ones make cascades escalate.
+const CHEAP_VERSION_QUALITY: f64 = 0.9;
 
-/// What differs between the two partners' stages.
-struct Casting {
+/// The parameters of one partner's fleet.
+struct PartnerScenario {
     name: &'static str,
     bundle: &'static str,
     halls: [&'static str; 2],
@@ -36,8 +36,8 @@
     service: &'static str,
 }
 
-const CASTINGS: [Casting; 2] = [
-    Casting {
+const PARTNER_SCENARIOS: [PartnerScenario; 2] = [
+    PartnerScenario {
         name: "panelwave",
         bundle: include_str!("../../examples/panelwave/bundle.toml"),
         halls: ["lagos-ikeja", "lagos-lekki"],
@@ -50,7 +50,7 @@
         cascade: "caption",
         service: "reader-api",
     },
-    Casting {
+    PartnerScenario {
         name: "tsion",
         bundle: include_str!("../../examples/tsion/bundle.toml"),
         halls: ["bole", "kazanchis"],
@@ -65,15 +65,15 @@
     },
 ];
 
-/// One partner's fleet with its upstreams.
+/// One partner's fleet and upstreams.
 pub struct Partner {
     /// The fleet.
     pub fleet: Fleet,
-    /// The bundle file.
+    /// The path of the bundle file.
     pub bundle: PathBuf,
     /// Two of the partner's organisations.
     pub organisations: Vec<String>,
-    /// The version that is rolled out and withdrawn.
+    /// The version that the demo rolls out and withdraws.
     pub second_version: VersionName,
     /// A cascade with an inline gate.
     pub cascade: String,
@@ -83,7 +83,7 @@
     pub models: Vec<Arc<ModelStandIn>>,
     /// The plain service's upstreams.
     pub services: Vec<Arc<ServiceStandIn>>,
-    /// The versions withdrawn so far, with the moment at which that was in force.
+    /// The versions withdrawn so far, and when each withdrawal was in force on all boxes.
     pub withdrawn: RefCell<Vec<(VersionName, WallTime)>>,
 }
 
@@ -93,42 +93,42 @@
         &self.fleet.partner
     }
 
-    /// Records that a withdrawal is in force everywhere.
-    pub fn note_withdrawal(&self, version: &VersionName) {
+    /// Records that a withdrawal is now in force on all boxes.
+    pub fn record_withdrawal(&self, version: &VersionName) {
         self.withdrawn
             .borrow_mut()
             .push((version.clone(), Now::read().wall));
     }
 }
 
-/// Everything that runs.
-pub struct Stage {
+/// All fleets, stand-ins and files of the demo.
+pub struct Environment {
     /// The partners.
     pub partners: Vec<Partner>,
-    /// The proxy between boxes and platform.
+    /// The proxy between the boxes and the platform stand-ins.
     pub proxy: Proxy,
     /// The store's address.
     pub store: SocketAddr,
     folder: PathBuf,
 }
 
-impl Drop for Stage {
-    /// Removes the demo's keys and settings; what cannot be removed lies in the machine's
-    /// folder for temporary files.
+impl Drop for Environment {
+    /// Removes the demo's keys and settings. Errors are ignored, since the files are in the system's
+    /// temporary directory.
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-impl Stage {
-    /// Starts all of it.
+impl Environment {
+    /// Starts the stand-ins and the fleets of all partners.
     pub async fn start() -> Result<Self> {
         let store = serve(Arc::new(StoreStandIn::default()))?;
         let proxy = Proxy::default();
         let folder = std::env::temp_dir().join(format!("gatepier-demo-{}", std::process::id()));
         let mut partners = Vec::new();
-        for casting in &CASTINGS {
-            partners.push(start_partner(casting, &folder, store, &proxy).await?);
+        for scenario in &PARTNER_SCENARIOS {
+            partners.push(start_partner(scenario, &folder, store, &proxy).await?);
         }
         Ok(Self {
             partners,
@@ -143,26 +143,26 @@
     let listener = server::listen(SocketAddr::from(([127, 0, 0, 1], 0)))?;
     let address = listener
         .local_addr()
-        .map_err(|err| Error::Unreachable(format!("no address: {err}")))?;
+        .map_err(|err| Error::Unreachable(format!("cannot read the listen address: {err}")))?;
     drop(server::serve(listener, stand_in, 1)?);
     Ok(address)
 }
 
 async fn start_partner(
-    casting: &Casting,
+    scenario: &PartnerScenario,
     folder: &Path,
     store: SocketAddr,
     proxy: &Proxy,
 ) -> Result<Partner> {
-    let folder = folder.join(casting.name);
+    let folder = folder.join(scenario.name);
     let plan = FleetPlan {
-        partner: casting.name.to_owned(),
-        halls: casting
+        partner: scenario.name.to_owned(),
+        halls: scenario
             .halls
             .iter()
             .map(|hall| ((*hall).to_owned(), BOXES_PER_HALL))
             .collect(),
-        organisations: casting
+        organisations: scenario
             .organisations
             .iter()
             .map(ToString::to_string)
@@ -172,47 +172,47 @@
     };
     let mut fleet = Fleet::write(&plan, &folder, store)?;
     let bundle = folder.join("bundle.toml");
-    std::fs::write(&bundle, casting.bundle).map_err(|err| Error::File(bundle.clone(), err))?;
+    std::fs::write(&bundle, scenario.bundle).map_err(|err| Error::File(bundle.clone(), err))?;
     let platform = Arc::new(PlatformStandIn::default());
     let platform_address = serve(platform.clone())?;
     let mut models = Vec::new();
     let mut services = Vec::new();
-    for hall in casting.halls {
+    for hall in scenario.halls {
         for number in 1..=BOXES_PER_HALL {
             let name = format!("{hall}-{number}");
             let link =
                 async |kind: &str, target| proxy.open(&format!("{kind}:{name}"), target).await;
-            let wiring = Wiring {
+            let addresses = PlatformAddresses {
                 store: link("store", store).await?,
                 list: link("list", platform_address).await?,
                 rater: platform_address,
             };
-            let added = fleet.add_box(&name, hall, wiring)?;
-            list(&platform, &name, AGENT_SERVICE, hall, added.agent, &[]);
+            let added = fleet.add_box(&name, hall, addresses)?;
+            list_upstream(&platform, &name, AGENT_SERVICE, hall, added.agent, &[]);
             start_box(&added)?;
         }
         for number in 1..=MODELS_PER_HALL {
             let stand_in = Arc::new(ModelStandIn::default());
-            for version in &casting.versions[..2] {
+            for version in &scenario.versions[..2] {
                 stand_in.set_behaviour(
                     version,
                     ModelBehaviour {
-                        quality: CHEAP_QUALITY,
+                        quality: CHEAP_VERSION_QUALITY,
                         ..ModelBehaviour::default()
                     },
                 );
             }
             let address = serve(stand_in.clone())?;
             let name = format!("{hall}-model-{number}");
-            list(&platform, &name, "model", hall, address, &casting.versions);
+            list_upstream(&platform, &name, "model", hall, address, &scenario.versions);
             models.push(stand_in);
         }
         let stand_in = Arc::new(ServiceStandIn::default());
         let address = serve(stand_in.clone())?;
-        list(
+        list_upstream(
             &platform,
             &format!("{hall}-service"),
-            casting.service,
+            scenario.service,
             hall,
             address,
             &[],
@@ -224,16 +224,16 @@
         fleet,
         bundle,
         organisations: plan.organisations,
-        second_version: super::version(casting.versions[1]),
-        cascade: casting.cascade.to_owned(),
-        service: casting.service.to_owned(),
+        second_version: super::version(scenario.versions[1]),
+        cascade: scenario.cascade.to_owned(),
+        service: scenario.service.to_owned(),
         models,
         services,
         withdrawn: RefCell::default(),
     })
 }
 
-fn list(
+fn list_upstream(
     platform: &PlatformStandIn,
     name: &str,
     service: &str,
@@ -246,24 +246,24 @@
     platform.change(ListChange::Put(vec![listed]));
 }
 
-/// Runs a box's agent and router on threads of their own; they end with the process.
+/// Runs a box's agent and router on new threads, which run until the process exits.
 fn start_box(files: &FleetBox) -> Result<()> {
     let agent = AgentSettings::load(&files.agent_settings)?;
     let router = RouterSettings::load(&files.router_settings)?;
     std::thread::spawn(move || {
-        let ran =
+        let result =
             actix_rt::System::new().block_on(async { Agent::new(agent)?.run(pending()).await });
-        report_end("agent", ran);
+        report_exit("agent", result);
     });
     std::thread::spawn(move || {
-        let ran = actix_rt::System::new().block_on(crate::router::run(router, pending()));
-        report_end("router", ran);
+        let result = actix_rt::System::new().block_on(crate::router::run(router, pending()));
+        report_exit("router", result);
     });
     Ok(())
 }
 
-fn report_end(what: &str, ran: Result<()>) {
-    if let Err(err) = ran {
-        eprintln!("a {what} ended: {err}");
+fn report_exit(what: &str, result: Result<()>) {
+    if let Err(err) = result {
+        eprintln!("{what} exited with an error: {err}");
     }
 }
--- a/src/demo/checks.rs
+++ b/src/demo/guarantees.rs
@@ -1,63 +1,63 @@
-//! Checks the promises from what the stand-ins and the ledger recorded.
+//! Checks the guarantees against the records of the stand-ins and the ledger.
 
-use super::requests::{Kind, Sent};
-use super::stage::{Partner, Stage};
+use super::environment::{Environment, Partner};
+use super::requests::{RequestKind, RequestRecord};
 use crate::claim::Bill;
 use crate::error::Result;
-use crate::lab::model::Run;
+use crate::lab::model::RunRecord;
 use crate::ledger::read_ledger;
 use crate::store::etcd::EtcdStore;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is checked.
-pub struct Checks<'a> {
-    stage: &'a Stage,
-    sent: &'a [Sent],
+/// Checks one run of the demo.
+pub struct GuaranteeChecker<'a> {
+    environment: &'a Environment,
+    sent: &'a [RequestRecord],
 }
 
-/// One promise, with how often it was broken.
-struct Promise {
+/// A guarantee and the number of its violations.
+struct Guarantee {
     text: &'static str,
-    broken: usize,
+    violations: usize,
 }
 
-impl<'a> Checks<'a> {
-    /// Makes the checks of one run.
-    pub fn new(stage: &'a Stage, sent: &'a [Sent]) -> Self {
-        Self { stage, sent }
+impl<'a> GuaranteeChecker<'a> {
+    /// Returns a checker for the requests of one run.
+    pub fn new(environment: &'a Environment, sent: &'a [RequestRecord]) -> Self {
+        Self { environment, sent }
     }
 
-    /// Waits for the bills, prints the tables, and tells whether all promises were kept.
+    /// Waits for the bills, prints the tables and tells whether all guarantees hold.
     pub async fn report(&self) -> Result<bool> {
-        let mut kept = true;
-        for partner in &self.stage.partners {
-            let sent: Vec<&Sent> = self
+        let mut all_hold = true;
+        for partner in &self.environment.partners {
+            let sent: Vec<&RequestRecord> = self
                 .sent
                 .iter()
                 .filter(|sent| sent.partner == partner.name())
                 .collect();
             let ledger = self.wait_for_ledger(partner, &sent).await?;
             print_table(partner, &sent, &ledger);
-            for promise in promises(partner, &sent, &ledger) {
-                let mark = if promise.broken == 0 {
+            for guarantee in check_guarantees(partner, &sent, &ledger) {
+                let label = if guarantee.violations == 0 {
                     "kept  "
                 } else {
                     "BROKEN"
                 };
-                println!("  {mark}  {}", promise.text);
-                kept &= promise.broken == 0;
+                println!("  {label}  {}", guarantee.text);
+                all_hold &= guarantee.violations == 0;
             }
             println!();
         }
-        Ok(kept)
+        Ok(all_hold)
     }
 
     async fn wait_for_ledger(
         &self,
         partner: &Partner,
-        sent: &[&Sent],
+        sent: &[&RequestRecord],
     ) -> Result<BTreeMap<String, Bill>> {
-        let store = EtcdStore::new(self.stage.store);
+        let store = EtcdStore::new(self.environment.store);
         let read = async || {
             let ledger = read_ledger(&store, partner.name())
                 .await
@@ -65,14 +65,14 @@
             let by_id = ledger.into_iter().map(|(key, bill)| (key.request_id, bill));
             by_id.collect::<BTreeMap<_, _>>()
         };
-        let awaited = |ledger: &BTreeMap<String, Bill>| {
+        let has_all_bills = |ledger: &BTreeMap<String, Bill>| {
             sent.iter()
                 .filter(|sent| is_billed(partner, sent))
                 .all(|sent| ledger.contains_key(&sent.key))
         };
-        // A bill that stays away is reported as a broken promise below.
+        // A missing bill is reported later as a violation, so the timeout is ignored here.
         let _ = super::wait_until("all bills are in the ledger", async || {
-            awaited(&read().await)
+            has_all_bills(&read().await)
         })
         .await;
         Ok(read().await)
@@ -80,19 +80,23 @@
 }
 
 /// Tells whether a request has to be billed.
-fn is_billed(partner: &Partner, sent: &Sent) -> bool {
-    let is_model = matches!(sent.kind, Kind::Cascade | Kind::Stream);
-    let is_billed_service = sent.kind == Kind::Claimed && partner.service == "portal-api";
+fn is_billed(partner: &Partner, sent: &RequestRecord) -> bool {
+    let is_model = matches!(sent.kind, RequestKind::Cascade | RequestKind::Stream);
+    let is_billed_service = sent.kind == RequestKind::Claimed && partner.service == "portal-api";
     sent.status == 200 && (is_model || is_billed_service)
 }
 
-fn promises(partner: &Partner, sent: &[&Sent], ledger: &BTreeMap<String, Bill>) -> Vec<Promise> {
-    let model_runs: Vec<Run> = partner
+fn check_guarantees(
+    partner: &Partner,
+    sent: &[&RequestRecord],
+    ledger: &BTreeMap<String, Bill>,
+) -> Vec<Guarantee> {
+    let model_runs: Vec<RunRecord> = partner
         .models
         .iter()
         .flat_map(|model| model.runs())
         .collect();
-    let service_runs: Vec<Run> = partner
+    let service_runs: Vec<RunRecord> = partner
         .services
         .iter()
         .flat_map(|service| service.runs())
@@ -107,7 +111,7 @@
         *run_counts.entry(&run.request_id).or_default() += 1;
     }
     let withdrawn = partner.withdrawn.borrow();
-    let after_withdrawal = |run: &&Run| {
+    let after_withdrawal = |run: &&RunRecord| {
         withdrawn
             .iter()
             .any(|(version, at)| run.ran == version.to_string() && run.at > *at)
@@ -116,47 +120,47 @@
     let answered = sent.iter().filter(|sent| sent.status == 200);
     let refused = sent.iter().filter(|sent| sent.outcome == "not-run");
     vec![
-        Promise {
+        Guarantee {
             text: "a withdrawn version receives no new work",
-            broken: model_runs.iter().filter(after_withdrawal).count(),
+            violations: model_runs.iter().filter(after_withdrawal).count(),
         },
-        Promise {
+        Guarantee {
             text: "each request is billed once",
-            broken: billed
+            violations: billed
                 .filter(|sent| !ledger.contains_key(&sent.key))
                 .count(),
         },
-        Promise {
+        Guarantee {
             text: "nothing is billed that did not run",
-            broken: ledger
+            violations: ledger
                 .keys()
                 .filter(|key| !ran.contains(key.as_str()))
                 .count(),
         },
-        Promise {
+        Guarantee {
             text: "a caller gets the whole answer to its own request",
-            broken: answered.filter(|sent| !sent.own_and_whole).count(),
+            violations: answered.filter(|sent| !sent.is_own_complete_answer).count(),
         },
-        Promise {
+        Guarantee {
             text: "a refusal that says \"not run\" is true",
-            broken: refused
+            violations: refused
                 .filter(|sent| ran.contains(sent.key.as_str()))
                 .count(),
         },
-        Promise {
+        Guarantee {
             text: "a request that may not be repeated runs at most once",
-            broken: run_counts.values().filter(|count| **count > 1).count(),
+            violations: run_counts.values().filter(|count| **count > 1).count(),
         },
     ]
 }
 
-fn print_table(partner: &Partner, sent: &[&Sent], ledger: &BTreeMap<String, Bill>) {
+fn print_table(partner: &Partner, sent: &[&RequestRecord], ledger: &BTreeMap<String, Bill>) {
     println!("\n{}", partner.name());
     println!(
         "  {:<18} {:<12} {:>6} {:>7} {:>7} {:>12}  RAN ON",
         "ORGANISATION", "KIND", "ASKED", "SERVED", "BILLED", "COST MICROS"
     );
-    let mut rows: BTreeMap<(&str, Kind), Vec<&Sent>> = BTreeMap::new();
+    let mut rows: BTreeMap<(&str, RequestKind), Vec<&RequestRecord>> = BTreeMap::new();
     for sent in sent {
         rows.entry((&sent.organisation, sent.kind))
             .or_default()
--- a/src/demo/requests.rs
+++ b/src/demo/requests.rs
@@ -1,31 +1,31 @@
-//! The demo's callers.
+//! Sends the demo's requests and records their results.
 
-use super::stage::Partner;
+use super::environment::Partner;
 use crate::http_client::reusing_client;
 use crate::lab::fleet::credential_of;
 use awc::Client;
 use futures::StreamExt as _;
 use serde_json::json;
 
-const MANIFEST_BYTES: usize = 256;
+const READ_BODY_BYTES: usize = 256;
 
-/// What was asked for.
+/// The kinds of requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
-    /// A whole answer of a cascade.
+pub enum RequestKind {
+    /// A non-streaming completion by a cascade.
     Cascade,
-    /// A streamed answer of a model.
+    /// A streaming completion by a model.
     Stream,
-    /// A read of a plain service.
+    /// A read from a plain service.
     Read,
-    /// A request of a plain service that may not be repeated, sent twice.
+    /// A non-idempotent request to a plain service, sent twice with the same idempotency key.
     Claimed,
 }
 
-impl Kind {
+impl RequestKind {
     const ALL: [Self; 4] = [Self::Cascade, Self::Stream, Self::Read, Self::Claimed];
 
-    /// Returns the kind's name in the demo's table.
+    /// Returns the name shown in the demo's table.
     pub fn name(self) -> &'static str {
         match self {
             Self::Cascade => "cascade",
@@ -36,53 +36,63 @@
     }
 }
 
-/// One request, as its caller saw it.
+/// A request and its result as seen by the caller.
 #[derive(Debug, Clone)]
-pub struct Sent {
+pub struct RequestRecord {
     /// The partner.
     pub partner: String,
     /// The organisation.
     pub organisation: String,
-    /// What was asked for.
-    pub kind: Kind,
-    /// The request's key.
+    /// The kind of the request.
+    pub kind: RequestKind,
+    /// The idempotency key.
     pub key: String,
-    /// The status; zero if no answer came.
+    /// The HTTP status; zero if there was no response.
     pub status: u16,
-    /// The version that answered, if it was a model.
+    /// The version that answered; empty for a plain service.
     pub version: String,
-    /// What the answer says about whether the request ran.
+    /// The `gatepier-outcome` header, which says whether the request ran.
     pub outcome: String,
-    /// Whether the answer was whole and this request's own.
-    pub own_and_whole: bool,
+    /// Whether the response was complete and belongs to this request.
+    pub is_own_complete_answer: bool,
 }
 
-/// Sends a number of requests of all kinds, one after the other through all boxes.
-pub async fn send_mixed(partner: &Partner, count: usize) -> Vec<Sent> {
+/// Sends requests of all kinds one after the other, in turn through all boxes.
+pub async fn send_mixed(partner: &Partner, count: usize) -> Vec<RequestRecord> {
     let client = reusing_client();
     let mut sent = Vec::new();
     for number in 0..count {
-        let kind = Kind::ALL[number % Kind::ALL.len()];
+        let kind = RequestKind::ALL[number % RequestKind::ALL.len()];
         let organisation =
-            &partner.organisations[number / Kind::ALL.len() % partner.organisations.len()];
+            &partner.organisations[number / RequestKind::ALL.len() % partner.organisations.len()];
         let key = format!("demo-{}", uuid::Uuid::new_v4().simple());
         sent.push(send(&client, partner, number, kind, organisation, &key).await);
-        if kind == Kind::Claimed {
+        if kind == RequestKind::Claimed {
             sent.push(send(&client, partner, number + 1, kind, organisation, &key).await);
         }
     }
     sent
 }
 
-/// Sends a few requests that need claims, to see whether they are granted everywhere.
-pub async fn send_claimed_probe(partner: &Partner) -> Vec<Sent> {
+/// Sends some requests that need claims, to check that claims are granted by all shards.
+pub async fn send_claimed_probe(partner: &Partner) -> Vec<RequestRecord> {
     const PROBES: usize = 16;
     let client = reusing_client();
     let mut sent = Vec::new();
     for number in 0..PROBES {
         let key = format!("probe-{}", uuid::Uuid::new_v4().simple());
         let organisation = &partner.organisations[0];
-        sent.push(send(&client, partner, number, Kind::Claimed, organisation, &key).await);
+        sent.push(
+            send(
+                &client,
+                partner,
+                number,
+                RequestKind::Claimed,
+                organisation,
+                &key,
+            )
+            .await,
+        );
     }
     sent
 }
@@ -91,24 +101,24 @@
     client: &Client,
     partner: &Partner,
     number: usize,
-    kind: Kind,
+    kind: RequestKind,
     organisation: &str,
     key: &str,
-) -> Sent {
+) -> RequestRecord {
     let router = partner.fleet.boxes[number % partner.fleet.boxes.len()].router;
     let (path, model) = match kind {
-        Kind::Cascade => (
+        RequestKind::Cascade => (
             "v1/chat/completions".to_owned(),
             Some(partner.cascade.clone()),
         ),
-        Kind::Stream => (
+        RequestKind::Stream => (
             "v1/chat/completions".to_owned(),
             Some(partner.second_version.model.clone()),
         ),
-        Kind::Read | Kind::Claimed => (format!("{}/notes", partner.service), None),
+        RequestKind::Read | RequestKind::Claimed => (format!("{}/notes", partner.service), None),
     };
     let url = format!("http://{router}/{path}");
-    let request = if kind == Kind::Read {
+    let request = if kind == RequestKind::Read {
         client.get(url)
     } else {
         client.post(url)
@@ -118,14 +128,14 @@
         .insert_header(("idempotency-key", key));
     let response = match model {
         Some(model) => {
-            let stream = kind == Kind::Stream;
+            let stream = kind == RequestKind::Stream;
             request
                 .send_json(&json!({ "model": model, "stream": stream, "messages": [] }))
                 .await
         }
         None => request.send().await,
     };
-    let mut sent = Sent {
+    let mut sent = RequestRecord {
         partner: partner.name().to_owned(),
         organisation: organisation.to_owned(),
         kind,
@@ -133,7 +143,7 @@
         status: 0,
         version: String::new(),
         outcome: "unknown".to_owned(),
-        own_and_whole: false,
+        is_own_complete_answer: false,
     };
     let Ok(mut response) = response else {
         return sent;
@@ -156,14 +166,14 @@
             Err(_) => whole = false,
         }
     }
-    sent.own_and_whole = whole && is_own(kind, key, &String::from_utf8_lossy(&body));
+    sent.is_own_complete_answer = whole && is_own_body(kind, key, &String::from_utf8_lossy(&body));
     sent
 }
 
-fn is_own(kind: Kind, key: &str, body: &str) -> bool {
+fn is_own_body(kind: RequestKind, key: &str, body: &str) -> bool {
     match kind {
-        Kind::Read => body.len() == MANIFEST_BYTES,
-        Kind::Cascade | Kind::Claimed => body.contains(key),
-        Kind::Stream => body.contains(key) && body.ends_with("data: [DONE]\n\n"),
+        RequestKind::Read => body.len() == READ_BODY_BYTES,
+        RequestKind::Cascade | RequestKind::Claimed => body.contains(key),
+        RequestKind::Stream => body.contains(key) && body.ends_with("data: [DONE]\n\n"),
     }
 }
--- a/src/lab.rs
+++ b/src/lab.rs
@@ -1,6 +1,6 @@
-//! Small stand-ins for what surrounds the system, and tools to load and disturb it.
+//! Stand-ins (stub servers) for the external systems, a load generator and a fault-injecting proxy.
 //!
-//! They are for the demo, for tests and for measurements only.
+//! Used only by the demo, tests and measurements.
 
 pub mod cli;
 pub mod fleet;
--- a/src/lab/cli.rs
+++ b/src/lab/cli.rs
@@ -31,26 +31,26 @@
     -h, --help                  Print this help
 ";
 
-const DEFAULT_RATE: f64 = 100.0;
-const DEFAULT_SECONDS: u64 = 5;
+const DEFAULT_REQUESTS_PER_SECOND: f64 = 100.0;
+const DEFAULT_DURATION_SECONDS: u64 = 5;
 
-/// What the lab is asked to do.
+/// A parsed command line.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LabCommand {
     /// Print the help text.
     Help,
-    /// Run a stand-in.
+    /// Run a stand-in on an address.
     StandIn(StandInKind, SocketAddr),
-    /// Send a load.
+    /// Generate load.
     Load {
-        /// The load.
+        /// What to send.
         plan: LoadPlan,
-        /// Whether the report is in JSON.
+        /// Whether to print the report as JSON.
         json: bool,
     },
 }
 
-/// Which stand-in is run.
+/// The kinds of stand-ins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StandInKind {
     /// The key-value service.
@@ -64,13 +64,13 @@
 }
 
 impl LabCommand {
-    /// Reads the process's arguments.
+    /// Parses the arguments of the process.
     pub fn from_env() -> Result<Self> {
         let mut args = Arguments::from_env();
         if args.contains(["-h", "--help"]) {
             return Ok(Self::Help);
         }
-        let Some(name) = args.subcommand().map_err(usage)? else {
+        let Some(name) = args.subcommand().map_err(usage_error)? else {
             return Ok(Self::Help);
         };
         let command = match name.as_str() {
@@ -79,7 +79,7 @@
             "model" => Self::StandIn(StandInKind::Model, read_address(&mut args)?),
             "service" => Self::StandIn(StandInKind::Service, read_address(&mut args)?),
             "load" => read_load(&mut args)?,
-            other => return Err(Error::Usage(format!("there is no command `{other}`"))),
+            other => return Err(Error::Usage(format!("unknown command `{other}`"))),
         };
         match args.finish().first() {
             Some(extra) => Err(Error::Usage(format!(
@@ -92,32 +92,34 @@
 }
 
 fn read_address(args: &mut Arguments) -> Result<SocketAddr> {
-    args.free_from_str().map_err(usage)
+    args.free_from_str().map_err(usage_error)
 }
 
 fn read_load(args: &mut Arguments) -> Result<LabCommand> {
     let json = args.contains("--json");
-    let path = args.opt_value_from_str("--path").map_err(usage)?;
-    let credential = args.opt_value_from_str("--credential").map_err(usage)?;
-    let body: Option<String> = args.opt_value_from_str("--body").map_err(usage)?;
+    let path = args.opt_value_from_str("--path").map_err(usage_error)?;
+    let credential = args
+        .opt_value_from_str("--credential")
+        .map_err(usage_error)?;
+    let body: Option<String> = args.opt_value_from_str("--body").map_err(usage_error)?;
     let body = body.map(|body| serde_json::from_str(&body)).transpose();
-    let body = body.map_err(|err| Error::Usage(format!("--body is no JSON: {err}")))?;
-    let rate = args.opt_value_from_str("--rate").map_err(usage)?;
-    let seconds = args.opt_value_from_str("--seconds").map_err(usage)?;
-    let threads = args.opt_value_from_str("--threads").map_err(usage)?;
+    let body = body.map_err(|err| Error::Usage(format!("--body is not valid JSON: {err}")))?;
+    let rate = args.opt_value_from_str("--rate").map_err(usage_error)?;
+    let seconds = args.opt_value_from_str("--seconds").map_err(usage_error)?;
+    let threads = args.opt_value_from_str("--threads").map_err(usage_error)?;
     let target = read_address(args)?;
     let plan = LoadPlan {
         target,
         path: path.unwrap_or_else(|| "/".to_owned()),
         credential,
         body,
-        rate: rate.unwrap_or(DEFAULT_RATE),
-        duration: Duration::from_secs(seconds.unwrap_or(DEFAULT_SECONDS)),
+        rate: rate.unwrap_or(DEFAULT_REQUESTS_PER_SECOND),
+        duration: Duration::from_secs(seconds.unwrap_or(DEFAULT_DURATION_SECONDS)),
         threads: threads.unwrap_or(1),
     };
     Ok(LabCommand::Load { plan, json })
 }
 
-fn usage(err: pico_args::Error) -> Error {
+fn usage_error(err: pico_args::Error) -> Error {
     Error::Usage(err.to_string())
 }
--- a/src/lab/fleet.rs
+++ b/src/lab/fleet.rs
@@ -1,5 +1,5 @@
-//! Writes the settings, keys and certificates of a small fleet into a folder, for the
-//! demo and for tests.
+//! Writes the settings, keys and certificates of a small fleet to a folder, for the demo and
+//! tests.
 
 use crate::error::{Error, Result};
 use crate::keys::{FleetAuthority, OperatorKey, hex};
@@ -11,51 +11,51 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The two operators of each lab fleet; one proposes and the other signs.
+/// The two operators of each fleet, since a proposed bundle needs the signature of a second one.
 pub const OPERATORS: [&str; 2] = ["ada", "bayo"];
 
-const LOOPBACK: u8 = 127;
+const LOOPBACK_OCTET: u8 = 127;
 
-/// A fleet to be written.
+/// The parameters of a fleet.
 #[derive(Debug, Clone)]
 pub struct FleetPlan {
     /// The partner.
     pub partner: String,
-    /// The halls, each with its number of entry boxes.
+    /// Halls and the number of entry boxes in each.
     pub halls: Vec<(String, usize)>,
-    /// The organisations; the credential of each is its name with `-key`.
+    /// The organisations; see [`credential_of`] for their credentials.
     pub organisations: Vec<String>,
-    /// Lines that are added to each router's settings.
+    /// Lines appended to each router's settings.
     pub router_extra: String,
-    /// Lines that are added to each agent's settings.
+    /// Lines appended to each agent's settings.
     pub agent_extra: String,
 }
 
-/// Where a box finds the platform.
+/// The addresses at which a box reaches the platform services.
 #[derive(Debug, Clone, Copy)]
-pub struct Wiring {
+pub struct PlatformAddresses {
     /// The key-value service.
     pub store: SocketAddr,
     /// The live list.
     pub list: SocketAddr,
-    /// The rater.
+    /// The service that rates answers.
     pub rater: SocketAddr,
 }
 
-/// One box of a written fleet.
+/// One box of a fleet.
 #[derive(Debug, Clone)]
 pub struct FleetBox {
     /// The box's name.
     pub name: String,
     /// Its hall.
     pub hall: String,
-    /// Where its router listens.
+    /// The listen address of the router.
     pub router: SocketAddr,
-    /// Where its agent listens.
+    /// The listen address of the agent.
     pub agent: SocketAddr,
-    /// Where the router's metrics are read.
+    /// The metrics address of the router.
     pub router_metrics: SocketAddr,
-    /// Where the agent's metrics are read.
+    /// The metrics address of the agent.
     pub agent_metrics: SocketAddr,
     /// The router's settings file.
     pub router_settings: PathBuf,
@@ -63,14 +63,14 @@
     pub agent_settings: PathBuf,
 }
 
-/// A fleet whose files are written.
+/// A fleet whose files have been written.
 #[derive(Debug, Clone)]
 pub struct Fleet {
     /// The partner.
     pub partner: String,
-    /// The folder with all files.
+    /// The folder that contains all files.
     pub folder: PathBuf,
-    /// The boxes.
+    /// The boxes added so far.
     pub boxes: Vec<FleetBox>,
     /// The settings files of the two operators.
     pub operators: Vec<PathBuf>,
@@ -83,41 +83,41 @@
     agent_extra: String,
 }
 
-/// Returns the credential of an organisation of a lab fleet.
+/// Returns the bearer credential of an organisation: its name with the suffix `-key`.
 pub fn credential_of(organisation: &str) -> String {
     format!("{organisation}-key")
 }
 
-/// The ports that are given out: below the range from which the system takes those of
-/// sockets that ask for none.
-const LAB_PORTS: std::ops::Range<u16> = 10_000..32_000;
-/// The longest wait for a connection to an address of this machine.
+/// Ports from which addresses are drawn. They are below the ephemeral port range, from which the
+/// operating system assigns ports.
+const PORT_RANGE: std::ops::Range<u16> = 10_000..32_000;
+/// Timeout of the connection that checks whether an address is in use.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// How many addresses are tried; a drawn one is hardly ever in use.
-const ADDRESS_TRIES: usize = 20;
+/// Maximum number of addresses to check; a random one is rarely in use.
+const MAX_ADDRESS_ATTEMPTS: usize = 20;
 
-/// Returns a free address of this machine, on a loopback IP and a port drawn at random.
+/// Returns a free local address with a random loopback IP and a random port.
 ///
-/// A port of the system's own range may be taken, before it is listened on, by any socket
-/// that listens on all of the machine's addresses and asked for no port; a port of 127.0.0.1
-/// may be taken by an outgoing connection. Nothing else uses these.
+/// An ephemeral port could be taken, before the caller listens on it, by any socket that binds to
+/// the wildcard address with port 0, and a port of 127.0.0.1 by an outgoing connection. Random
+/// loopback IPs and ports below the ephemeral range are not assigned by the operating system.
 pub fn free_address() -> Result<SocketAddr> {
-    for _ in 0..ADDRESS_TRIES {
+    for _ in 0..MAX_ADDRESS_ATTEMPTS {
         let octet = || rand::random_range(1..=254);
-        let ip = Ipv4Addr::new(LOOPBACK, octet(), octet(), octet());
-        let address = SocketAddr::from((ip, rand::random_range(LAB_PORTS)));
+        let ip = Ipv4Addr::new(LOOPBACK_OCTET, octet(), octet(), octet());
+        let address = SocketAddr::from((ip, rand::random_range(PORT_RANGE)));
         if is_free(address) {
             return Ok(address);
         }
     }
-    Err(Error::Unreachable("no free address was found".to_owned()))
+    Err(Error::Unreachable("no free local address found".to_owned()))
 }
 
-/// Tells whether nobody listens on an address of this machine.
+/// Tells whether no process listens on a local address.
 ///
-/// It asks by a connection and not by listening there itself: a process that is started at
-/// that moment by another thread would share the listening socket until it runs its own
-/// program, and the address could not be listened on as long as that takes.
+/// Checks with a connection rather than by binding the address: a child process forked by another
+/// thread at that moment would inherit the listening socket until it calls `exec`, and the address
+/// would stay in use for that long.
 pub fn is_free(address: SocketAddr) -> bool {
     let connected = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT);
     connected.is_err_and(|err| err.kind() == ErrorKind::ConnectionRefused)
@@ -128,7 +128,7 @@
 }
 
 impl Fleet {
-    /// Writes a fleet without boxes: keys, certificates and operators' settings.
+    /// Writes a fleet without boxes: keys, certificates and operator settings.
     pub fn write(plan: &FleetPlan, folder: &Path, store: SocketAddr) -> Result<Self> {
         std::fs::create_dir_all(folder).map_err(|err| Error::File(folder.to_owned(), err))?;
         let authority = FleetAuthority::generate(&plan.partner)?;
@@ -178,12 +178,12 @@
             router_extra: format!("session_key = \"{session_key}\"\n{}", plan.router_extra),
             agent_extra: plan.agent_extra.clone(),
         };
-        fleet.issue("operators")?;
+        fleet.issue_certificate("operators")?;
         fleet.write_operators(store)?;
         Ok(fleet)
     }
 
-    fn issue(&self, name: &str) -> Result<()> {
+    fn issue_certificate(&self, name: &str) -> Result<()> {
         let authority =
             FleetAuthority::from_pem(&self.partner, &self.authority, &self.authority_key)?;
         let issued = authority.issue()?;
@@ -200,12 +200,12 @@
         )
     }
 
-    /// Writes the operators' settings, which name the agents known so far.
+    /// Writes the operators' settings, which list the agents of all boxes added so far.
     pub fn write_operators(&mut self, store: SocketAddr) -> Result<()> {
         let agents: Vec<String> = self
             .boxes
             .iter()
-            .map(|found| format!("\"{}\"", found.agent))
+            .map(|known| format!("\"{}\"", known.agent))
             .collect();
         self.operators.clear();
         for name in OPERATORS {
@@ -224,8 +224,13 @@
     }
 
     /// Adds a box to the fleet and writes its files.
-    pub fn add_box(&mut self, name: &str, hall: &str, wiring: Wiring) -> Result<FleetBox> {
-        self.issue(name)?;
+    pub fn add_box(
+        &mut self,
+        name: &str,
+        hall: &str,
+        platform: PlatformAddresses,
+    ) -> Result<FleetBox> {
+        self.issue_certificate(name)?;
         let added = FleetBox {
             name: name.to_owned(),
             hall: hall.to_owned(),
@@ -242,7 +247,7 @@
             added.router,
             added.router_metrics,
             added.agent,
-            wiring.rater,
+            platform.rater,
             self.router_extra,
             Self::tls_table(name),
             self.credentials,
@@ -252,8 +257,8 @@
             "{head}listen = \"{}\"\nmetrics = \"{}\"\nstore = \"{}\"\nlist = \"{}\"\n{}{}{}",
             added.agent,
             added.agent_metrics,
-            wiring.store,
-            wiring.list,
+            platform.store,
+            platform.list,
             Self::tls_table(name),
             self.operator_tables,
             self.agent_extra,
--- a/src/lab/load.rs
+++ b/src/lab/load.rs
@@ -1,5 +1,5 @@
-//! An open-loop load: requests begin when they are due, whether or not earlier ones
-//! have ended, and their latency counts from the moment they were due.
+//! Open-loop load generator: requests start on schedule whether or not earlier ones have
+//! finished, and latency is measured from the scheduled start.
 
 use crate::error::{Error, Result};
 use crate::http_client::reusing_client;
@@ -15,29 +15,30 @@
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, timeout};
 
-const HIGHEST_MICROS: u64 = 120_000_000;
+const MAX_RECORDED_MICROS: u64 = 120_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// The timer's ticks are a millisecond, so the last stretch before a start is spun.
+/// How long before a scheduled start to switch from sleeping to yielding in a loop, since the
+/// timer has a resolution of one millisecond.
 const SPIN_BEFORE_START: Duration = Duration::from_millis(2);
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
 const QUANTILES: [f64; 5] = [0.5, 0.9, 0.99, 0.999, 1.0];
 
-/// What is sent, how often and for how long.
+/// Parameters of a load.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadPlan {
-    /// Where requests go.
+    /// The address to which requests are sent.
     pub target: SocketAddr,
-    /// The path.
+    /// The request path.
     pub path: String,
-    /// The bearer credential.
+    /// The bearer credential, if any.
     pub credential: Option<String>,
-    /// The body of a `POST`; none sends a `GET`.
+    /// The JSON body of a `POST`; without it, a `GET` is sent.
     pub body: Option<Value>,
-    /// Requests a second.
+    /// Requests per second, over all threads.
     pub rate: f64,
-    /// For how long requests begin.
+    /// The period in which requests are started.
     pub duration: Duration,
-    /// How many threads send.
+    /// The number of sending threads.
     pub threads: usize,
 }
 
@@ -48,38 +49,38 @@
     }
 }
 
-/// What came of a load.
+/// The results of a load.
 #[derive(Debug, Clone)]
 pub struct LoadReport {
-    /// Time from the due start to the whole answer, in microseconds.
-    pub whole: Histogram<u64>,
-    /// Time from the due start to the first bytes of the body, in microseconds.
-    pub first: Histogram<u64>,
+    /// Time from the scheduled start to the end of the response, in microseconds.
+    pub total_latency: Histogram<u64>,
+    /// Time from the scheduled start to the first bytes of the body, in microseconds.
+    pub first_byte_latency: Histogram<u64>,
     /// Time between two chunks of a stream, in microseconds.
-    pub between: Histogram<u64>,
-    /// Answers by status; failed requests count as `failed`.
+    pub chunk_gaps: Histogram<u64>,
+    /// Number of responses by status; requests without a complete response count as `failed`.
     pub statuses: BTreeMap<String, u64>,
 }
 
 impl LoadReport {
     fn new() -> Result<Self> {
         let histogram = || {
-            Histogram::new_with_max(HIGHEST_MICROS, SIGNIFICANT_DIGITS)
+            Histogram::new_with_max(MAX_RECORDED_MICROS, SIGNIFICANT_DIGITS)
                 .map_err(|err| Error::Usage(err.to_string()))
         };
         Ok(Self {
-            whole: histogram()?,
-            first: histogram()?,
-            between: histogram()?,
+            total_latency: histogram()?,
+            first_byte_latency: histogram()?,
+            chunk_gaps: histogram()?,
             statuses: BTreeMap::new(),
         })
     }
 
-    fn add(&mut self, other: &Self) {
+    fn merge(&mut self, other: &Self) {
         let pairs = [
-            (&mut self.whole, &other.whole),
-            (&mut self.first, &other.first),
-            (&mut self.between, &other.between),
+            (&mut self.total_latency, &other.total_latency),
+            (&mut self.first_byte_latency, &other.first_byte_latency),
+            (&mut self.chunk_gaps, &other.chunk_gaps),
         ];
         for (own, other) in pairs {
             own.add(other).expect("all histograms have the same bounds");
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Returns the report as a value.
+    /// Returns the report as JSON.
     pub fn to_json(&self) -> Value {
         let quantiles = |histogram: &Histogram<u64>| {
             let found =
@@ -97,15 +98,15 @@
             Value::from_iter(found)
         };
         json!({
-            "requests": self.whole.len(),
+            "requests": self.total_latency.len(),
             "statuses": self.statuses,
-            "whole_micros": quantiles(&self.whole),
-            "first_micros": quantiles(&self.first),
-            "between_micros": quantiles(&self.between),
+            "whole_micros": quantiles(&self.total_latency),
+            "first_micros": quantiles(&self.first_byte_latency),
+            "between_micros": quantiles(&self.chunk_gaps),
         })
     }
 
-    /// Returns the report as lines of text.
+    /// Returns the report as human-readable text.
     pub fn to_text(&self) -> String {
         let line = |name: &str, histogram: &Histogram<u64>| {
             let found = QUANTILES.map(|q| {
@@ -124,17 +125,17 @@
             .collect();
         let mut lines = vec![
             format!("answers  {}", statuses.join(", ")),
-            line("whole", &self.whole),
-            line("first", &self.first),
+            line("whole", &self.total_latency),
+            line("first", &self.first_byte_latency),
         ];
-        if !self.between.is_empty() {
-            lines.push(line("between", &self.between));
+        if !self.chunk_gaps.is_empty() {
+            lines.push(line("between", &self.chunk_gaps));
         }
         lines.join("\n")
     }
 }
 
-/// Runs a load on threads of its own and returns what came of it.
+/// Runs a load on new threads and returns the merged results.
 pub fn run(plan: &LoadPlan) -> Result<LoadReport> {
     let threads: Vec<_> = (0..plan.threads)
         .map(|_| {
@@ -148,7 +149,7 @@
         let part = thread
             .join()
             .map_err(|_| Error::Usage("a load thread panicked".to_owned()))??;
-        report.add(&part);
+        report.merge(&part);
     }
     Ok(report)
 }
@@ -185,17 +186,19 @@
 }
 
 async fn send(client: Client, plan: Rc<LoadPlan>, due: Instant, report: Rc<RefCell<LoadReport>>) {
-    let outcome = timeout(REQUEST_TIMEOUT, exchange(&client, &plan, due, &report)).await;
+    let outcome = timeout(REQUEST_TIMEOUT, send_and_read(&client, &plan, due, &report)).await;
     let status = outcome
         .ok()
         .flatten()
         .unwrap_or_else(|| "failed".to_owned());
     let mut report = report.borrow_mut();
-    report.whole.saturating_record(micros(due.elapsed()));
+    report
+        .total_latency
+        .saturating_record(micros(due.elapsed()));
     *report.statuses.entry(status).or_default() += 1;
 }
 
-async fn exchange(
+async fn send_and_read(
     client: &Client,
     plan: &LoadPlan,
     due: Instant,
@@ -220,8 +223,12 @@
         let now = Instant::now();
         let mut report = report.borrow_mut();
         match last {
-            None => report.first.saturating_record(micros(now - due)),
-            Some(last) if plan.is_stream() => report.between.saturating_record(micros(now - last)),
+            None => report
+                .first_byte_latency
+                .saturating_record(micros(now - due)),
+            Some(last) if plan.is_stream() => {
+                report.chunk_gaps.saturating_record(micros(now - last))
+            }
             Some(_) => {}
         }
         last = Some(now);
--- a/src/lab/model.rs
+++ b/src/lab/model.rs
@@ -1,6 +1,7 @@
-//! A stand-in for a model engine, with set speed and quality, which records what ran.
+//! A stand-in for a model engine with configurable speed, quality and faults, which records the
+//! requests that it ran.
 
-use super::server::{StandIn, json, pause, text};
+use super::server::{StandIn, json_response, sleep_ms, text_response};
 use crate::clock::{Now, WallTime};
 use actix_http::body::{BodyStream, BoxBody};
 use actix_http::header::CONTENT_TYPE;
@@ -9,36 +10,36 @@
 use futures::future::LocalBoxFuture;
 use futures::stream;
 use serde::{Deserialize, Serialize};
-use serde_json::{Value, json as value};
+use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// What an answer of bad quality contains, so that the rater's stand-in knows it.
+/// Marker in answers of bad quality, by which the rater's stand-in recognises them.
 pub const BAD_ANSWER_MARKER: &str = "~bad~";
-const GOOD_MARK: &str = "~good~";
+const GOOD_ANSWER_MARKER: &str = "~good~";
 const PROMPT_TOKENS: u64 = 8;
 
-/// The header by which a test names each try, so that the stand-ins' records tell which
-/// one ran.
+/// The header with which a test names each attempt, so that the stand-ins' records tell which
+/// attempts ran.
 pub const TRY_HEADER: &str = "lab-try";
 
-/// How one version behaves.
+/// Behaviour and injected faults of a model version.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ModelBehaviour {
-    /// The part of answers that are good.
+    /// The fraction of answers that are good.
     pub quality: f64,
-    /// The part of requests that fail with a status of 500.
+    /// The fraction of requests that fail with status 500.
     pub failing: f64,
-    /// The part of streams that break off in the middle.
+    /// The fraction of streams that are broken off in the middle.
     pub breaking: f64,
-    /// Milliseconds to the first token.
+    /// Milliseconds until the first token.
     pub first_token_ms: u64,
     /// Milliseconds between tokens.
     pub token_ms: u64,
-    /// Tokens of an answer.
+    /// Number of tokens in an answer.
     pub tokens: u64,
-    /// Whether answers name another request, as if they had got crossed.
+    /// Whether answers carry the id of another request, as if responses were mixed up.
     pub crossed: bool,
 }
 
@@ -56,33 +57,33 @@
     }
 }
 
-/// One request that ran.
+/// A request that a stand-in ran.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Run {
+pub struct RunRecord {
     /// The request's id.
     pub request_id: String,
     /// The organisation.
     pub organisation: String,
     /// The version, or the method and path of a plain service.
     pub ran: String,
-    /// When it began.
+    /// When it started.
     pub at: WallTime,
-    /// The caller's own name for the try, from the header `lab-try`.
+    /// The caller's name for the attempt, from the header [`TRY_HEADER`].
     #[serde(default)]
     pub caller_try: String,
-    /// Whether the whole answer was given out.
+    /// Whether the complete response was produced.
     pub whole: bool,
 }
 
-/// The stand-in.
+/// The model engine stand-in.
 #[derive(Debug, Default)]
 pub struct ModelStandIn {
     behaviours: Mutex<BTreeMap<String, ModelBehaviour>>,
-    runs: Mutex<Vec<Run>>,
+    runs: Mutex<Vec<RunRecord>>,
 }
 
 impl ModelStandIn {
-    /// Sets how a version behaves.
+    /// Sets the behaviour of a version.
     pub fn set_behaviour(&self, version: &str, behaviour: ModelBehaviour) {
         let mut behaviours = self
             .behaviours
@@ -91,8 +92,8 @@
         behaviours.insert(version.to_owned(), behaviour);
     }
 
-    /// Returns what ran so far.
-    pub fn runs(&self) -> Vec<Run> {
+    /// Returns the requests that ran so far.
+    pub fn runs(&self) -> Vec<RunRecord> {
         self.runs
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -107,24 +108,24 @@
         behaviours.get(version).copied().unwrap_or_default()
     }
 
-    fn begin(&self, run: Run) -> usize {
+    fn record_start(&self, run: RunRecord) -> usize {
         let mut runs = self.runs.lock().unwrap_or_else(PoisonError::into_inner);
         runs.push(run);
         runs.len() - 1
     }
 
-    fn mark_whole(&self, position: usize) {
+    fn mark_complete(&self, position: usize) {
         self.runs.lock().unwrap_or_else(PoisonError::into_inner)[position].whole = true;
     }
 
     async fn complete(self: Arc<Self>, req: Request, body: Bytes) -> Response<BoxBody> {
-        let Ok(question) = serde_json::from_slice::<Value>(&body) else {
-            return text(StatusCode::BAD_REQUEST, "the body is no JSON");
+        let Ok(request) = serde_json::from_slice::<Value>(&body) else {
+            return text_response(StatusCode::BAD_REQUEST, "the body is not valid JSON");
         };
-        let version = question["model"].as_str().unwrap_or("").to_owned();
+        let version = request["model"].as_str().unwrap_or("").to_owned();
         let behaviour = self.behaviour_of(&version);
         let id = header(&req, "x-request-id");
-        let position = self.begin(Run {
+        let position = self.record_start(RunRecord {
             request_id: id.clone(),
             organisation: header(&req, "gatepier-organisation"),
             ran: version.clone(),
@@ -132,53 +133,58 @@
             caller_try: header(&req, TRY_HEADER),
             whole: false,
         });
-        pause(behaviour.first_token_ms).await;
+        sleep_ms(behaviour.first_token_ms).await;
         if rand::random_bool(behaviour.failing) {
-            return text(StatusCode::INTERNAL_SERVER_ERROR, "the engine failed");
+            return text_response(StatusCode::INTERNAL_SERVER_ERROR, "the engine failed");
         }
         let good = rand::random_bool(behaviour.quality);
-        let answer = Answer {
+        let answer = GeneratedAnswer {
             id: if behaviour.crossed {
                 format!("{id}-crossed")
             } else {
                 id
             },
             version,
-            mark: if good { GOOD_MARK } else { BAD_ANSWER_MARKER },
+            marker: if good {
+                GOOD_ANSWER_MARKER
+            } else {
+                BAD_ANSWER_MARKER
+            },
             tokens: behaviour.tokens,
         };
-        if question["stream"].as_bool() == Some(true) {
-            let breaks = rand::random_bool(behaviour.breaking);
-            return self.stream(answer, behaviour, breaks, position);
+        if request["stream"].as_bool() == Some(true) {
+            let is_broken = rand::random_bool(behaviour.breaking);
+            return self.stream(answer, behaviour, is_broken, position);
         }
-        pause(behaviour.token_ms * behaviour.tokens).await;
-        self.mark_whole(position);
+        sleep_ms(behaviour.token_ms * behaviour.tokens).await;
+        self.mark_complete(position);
         let mut res = Response::build(StatusCode::OK);
         res.insert_header(("x-request-id", answer.id.clone()));
         res.insert_header((CONTENT_TYPE, "application/json"));
-        res.body(answer.whole().to_string()).map_into_boxed_body()
+        res.body(answer.to_completion().to_string())
+            .map_into_boxed_body()
     }
 
     fn stream(
         self: Arc<Self>,
-        answer: Answer,
+        answer: GeneratedAnswer,
         behaviour: ModelBehaviour,
-        breaks: bool,
+        is_broken: bool,
         position: usize,
     ) -> Response<BoxBody> {
         let id = answer.id.clone();
         let token_ms = behaviour.token_ms;
         let state = (self, answer, 0u64);
         let events = stream::unfold(state, move |(stand_in, answer, next)| async move {
-            if breaks && next > answer.tokens / 2 {
-                return Some((Err(StreamBroken), (stand_in, answer, next)));
+            if is_broken && next > answer.tokens / 2 {
+                return Some((Err(InjectedStreamBreak), (stand_in, answer, next)));
             }
             if next > 0 && next < answer.tokens {
-                pause(token_ms).await;
+                sleep_ms(token_ms).await;
             }
             let event = answer.event(next)?;
             if next == answer.tokens + 1 {
-                stand_in.mark_whole(position);
+                stand_in.mark_complete(position);
             }
             Some((Ok(event), (stand_in, answer, next + 1)))
         });
@@ -190,37 +196,37 @@
     }
 }
 
-/// A stream that breaks off as it was told to.
+/// Error that ends a stream broken off by fault injection.
 #[derive(Debug)]
-struct StreamBroken;
+struct InjectedStreamBreak;
 
-impl std::fmt::Display for StreamBroken {
+impl std::fmt::Display for InjectedStreamBreak {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the stream was told to break off")
+        f.write_str("stream broken off by fault injection")
     }
 }
 
-impl std::error::Error for StreamBroken {}
+impl std::error::Error for InjectedStreamBreak {}
 
-struct Answer {
+struct GeneratedAnswer {
     id: String,
     version: String,
-    mark: &'static str,
+    marker: &'static str,
     tokens: u64,
 }
 
-impl Answer {
+impl GeneratedAnswer {
     fn usage(&self) -> Value {
-        value!({
+        json!({
             "prompt_tokens": PROMPT_TOKENS,
             "completion_tokens": self.tokens,
             "total_tokens": PROMPT_TOKENS + self.tokens,
         })
     }
 
-    fn whole(&self) -> Value {
-        let content = format!("{} answers {} {}", self.version, self.id, self.mark);
-        value!({
+    fn to_completion(&self) -> Value {
+        let content = format!("{} answers {} {}", self.version, self.id, self.marker);
+        json!({
             "id": self.id,
             "object": "chat.completion",
             "model": self.version,
@@ -233,7 +239,7 @@
         })
     }
 
-    /// Returns the stream's event of a number: tokens, then the usage, then the end.
+    /// Returns an event of the stream by its number: the tokens, then the usage, then `[DONE]`.
     fn event(&self, number: u64) -> Option<Bytes> {
         if number > self.tokens + 1 {
             return None;
@@ -241,7 +247,7 @@
         if number == self.tokens + 1 {
             return Some(Bytes::from_static(b"data: [DONE]\n\n"));
         }
-        let mut chunk = value!({
+        let mut chunk = json!({
             "id": self.id,
             "object": "chat.completion.chunk",
             "model": self.version,
@@ -251,17 +257,17 @@
             chunk["usage"] = self.usage();
         } else {
             let content = if number == 0 {
-                self.mark.to_owned()
+                self.marker.to_owned()
             } else {
                 format!(" token{number}")
             };
-            chunk["choices"] = value!([{ "index": 0, "delta": { "content": content } }]);
+            chunk["choices"] = json!([{ "index": 0, "delta": { "content": content } }]);
         }
         Some(format!("data: {chunk}\n\n").into())
     }
 }
 
-/// Returns a request's header as text.
+/// Returns a request header, or an empty string if it is absent.
 pub fn header(req: &Request, name: &str) -> String {
     let value = req.head().headers.get(name);
     value
@@ -271,7 +277,7 @@
 }
 
 impl StandIn for ModelStandIn {
-    fn answer(
+    fn handle(
         self: Arc<Self>,
         req: Request,
         body: Bytes,
@@ -279,18 +285,18 @@
         Box::pin(async move {
             match req.path() {
                 "/v1/chat/completions" => self.complete(req, body).await,
-                "/lab/runs" => json(&self.runs()),
+                "/lab/runs" => json_response(&self.runs()),
                 "/lab/behaviours" => match serde_json::from_slice(&body) {
                     Ok(behaviours) => {
                         let behaviours: BTreeMap<String, ModelBehaviour> = behaviours;
                         for (version, behaviour) in behaviours {
                             self.set_behaviour(&version, behaviour);
                         }
-                        text(StatusCode::OK, "done")
+                        text_response(StatusCode::OK, "done")
                     }
-                    Err(err) => text(StatusCode::BAD_REQUEST, &err.to_string()),
+                    Err(err) => text_response(StatusCode::BAD_REQUEST, &err.to_string()),
                 },
-                _ => text(StatusCode::NOT_FOUND, "not found"),
+                _ => text_response(StatusCode::NOT_FOUND, "not found"),
             }
         })
     }
--- a/src/lab/platform.rs
+++ b/src/lab/platform.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for the platform's list of boxes and for its service that rates answers.
+//! A stand-in for the platform's live list of boxes and for its service that rates answers.
 
 use super::model::BAD_ANSWER_MARKER;
-use super::server::{StandIn, json, pause, text};
+use super::server::{StandIn, json_response, sleep_ms, text_response};
 use crate::live::{BoxState, ListedBox, LiveList};
 use actix_http::body::BoxBody;
 use actix_http::{Method, Request, Response, StatusCode};
@@ -10,31 +10,31 @@
 use serde::{Deserialize, Serialize};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// A change to the list.
+/// A change to the live list.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ListChange {
-    /// Adds boxes, or replaces those of the same name.
+    /// Adds boxes, or replaces boxes with the same name.
     Put(Vec<ListedBox>),
     /// Marks a box as leaving.
     Leave(String),
-    /// Drops a box for good.
+    /// Removes a box.
     Drop(String),
 }
 
-/// How the rater misbehaves.
+/// Faults injected into the rater.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RaterFaults {
-    /// Whether every call is refused.
+    /// Whether every call is refused with status 503.
     pub down: bool,
-    /// Milliseconds by which every rating is late.
+    /// Milliseconds by which every rating is delayed.
     pub delay_ms: u64,
-    /// The part of ratings that are the opposite of the truth.
+    /// The fraction of ratings that are inverted.
     pub wrong: f64,
 }
 
-/// The stand-in for both.
+/// The stand-in for the live list and the rater.
 #[derive(Debug, Default)]
 pub struct PlatformStandIn {
     list: Mutex<LiveList>,
@@ -42,7 +42,7 @@
 }
 
 #[derive(Deserialize)]
-struct RateQuestion {
+struct RatingRequest {
     answer: String,
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl PlatformStandIn {
-    /// Changes the list.
+    /// Applies a change to the list and increments its revision.
     pub fn change(&self, change: ListChange) {
         let mut list = self.list.lock().unwrap_or_else(PoisonError::into_inner);
         list.revision += 1;
@@ -81,22 +81,22 @@
     async fn rate(&self, body: &[u8]) -> Response<BoxBody> {
         let faults = *self.rater.lock().unwrap_or_else(PoisonError::into_inner);
         if faults.down {
-            return text(StatusCode::SERVICE_UNAVAILABLE, "down");
+            return text_response(StatusCode::SERVICE_UNAVAILABLE, "down");
         }
-        pause(faults.delay_ms).await;
-        let Ok(question) = serde_json::from_slice::<RateQuestion>(body) else {
-            return text(StatusCode::BAD_REQUEST, "the question cannot be read");
+        sleep_ms(faults.delay_ms).await;
+        let Ok(request) = serde_json::from_slice::<RatingRequest>(body) else {
+            return text_response(StatusCode::BAD_REQUEST, "invalid rating request");
         };
-        let truth = !question.answer.contains(BAD_ANSWER_MARKER);
-        let lies = rand::random_bool(faults.wrong.clamp(0.0, 1.0));
-        json(&Rating {
-            good: truth != lies,
+        let is_good = !request.answer.contains(BAD_ANSWER_MARKER);
+        let is_inverted = rand::random_bool(faults.wrong.clamp(0.0, 1.0));
+        json_response(&Rating {
+            good: is_good != is_inverted,
         })
     }
 }
 
 impl StandIn for PlatformStandIn {
-    fn answer(
+    fn handle(
         self: Arc<Self>,
         req: Request,
         body: Bytes,
@@ -104,24 +104,24 @@
         Box::pin(async move {
             match (req.method(), req.path()) {
                 (&Method::GET, "/v1/boxes") => {
-                    json(&*self.list.lock().unwrap_or_else(PoisonError::into_inner))
+                    json_response(&*self.list.lock().unwrap_or_else(PoisonError::into_inner))
                 }
                 (&Method::POST, "/v1/rate") => self.rate(&body).await,
                 (&Method::POST, "/lab/list") => match serde_json::from_slice(&body) {
                     Ok(change) => {
                         self.change(change);
-                        text(StatusCode::OK, "done")
+                        text_response(StatusCode::OK, "done")
                     }
-                    Err(err) => text(StatusCode::BAD_REQUEST, &err.to_string()),
+                    Err(err) => text_response(StatusCode::BAD_REQUEST, &err.to_string()),
                 },
                 (&Method::POST, "/lab/rater") => match serde_json::from_slice(&body) {
                     Ok(faults) => {
                         *self.rater.lock().unwrap_or_else(PoisonError::into_inner) = faults;
-                        text(StatusCode::OK, "done")
+                        text_response(StatusCode::OK, "done")
                     }
-                    Err(err) => text(StatusCode::BAD_REQUEST, &err.to_string()),
+                    Err(err) => text_response(StatusCode::BAD_REQUEST, &err.to_string()),
                 },
-                _ => text(StatusCode::NOT_FOUND, "not found"),
+                _ => text_response(StatusCode::NOT_FOUND, "not found"),
             }
         })
     }
--- a/src/lab/proxy.rs
+++ b/src/lab/proxy.rs
@@ -1,4 +1,4 @@
-//! A fault-injecting proxy between any two processes, on the level of TCP.
+//! A fault-injecting TCP proxy between processes.
 
 use crate::error::{Error, Result};
 use std::collections::HashMap;
@@ -14,61 +14,61 @@
 
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// What a link does with bytes.
+/// How a link treats connections and bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum LinkMode {
-    /// Bytes pass.
+    /// Bytes are forwarded.
     #[default]
     Open,
-    /// Connections are closed and new ones are refused.
+    /// Connections are closed, and new ones are closed right after they are accepted.
     Closed,
-    /// Bytes are held, as by a network that drops packets.
+    /// Bytes are held back in both directions, as by a network that drops packets.
     Stalled,
-    /// Bytes to the target are held; those from it pass.
+    /// Bytes to the target are held back; bytes from it are forwarded.
     StalledToTarget,
-    /// Bytes from the target are held; those to it pass.
+    /// Bytes from the target are held back; bytes to it are forwarded.
     StalledFromTarget,
-    /// Connections are reset, present and new ones.
+    /// Existing and new connections are reset.
     Reset,
-    /// Bytes from the target are swallowed and then the connection is closed, so that
-    /// an answer is lost after its effect.
+    /// Bytes from the target are dropped and the connection is closed, so that the answer to a
+    /// request that took effect is lost.
     DropAnswers,
-    /// Bytes pass late by so many milliseconds.
+    /// Bytes are delayed by this many milliseconds.
     Delayed(u64),
-    /// So many bytes pass in a second each way, on all connections of the link together.
+    /// Bandwidth limit in bytes per second in each direction, shared by all connections of the link.
     Throttled(u64),
 }
 
-/// Until when each way of a link is taken up by bytes that have passed already.
+/// The time until which each direction of a throttled link is in use by earlier bytes.
 #[derive(Debug, Default)]
-struct Lanes {
+struct BandwidthReservations {
     busy_until: Mutex<[Option<Instant>; 2]>,
 }
 
-impl Lanes {
-    /// Reserves a way for some bytes and returns when the last of them has passed.
+impl BandwidthReservations {
+    /// Reserves a direction for some bytes and returns when the last of them has passed.
     fn reserve(&self, is_answer: bool, bytes: usize, rate: u64, now: Instant) -> Instant {
-        let mut lanes = self
+        let mut reservations = self
             .busy_until
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let lane = &mut lanes[usize::from(is_answer)];
-        let start = lane.map_or(now, |until| until.max(now));
+        let reserved_until = &mut reservations[usize::from(is_answer)];
+        let start = reserved_until.map_or(now, |until| until.max(now));
         let passed = start + Duration::from_secs_f64(bytes as f64 / rate.max(1) as f64);
-        *lane = Some(passed);
+        *reserved_until = Some(passed);
         passed
     }
 }
 
-/// A proxy with any number of links, each with a mode of its own.
+/// A proxy with any number of named links, each with its own mode.
 #[derive(Debug, Clone, Default)]
 pub struct Proxy {
     links: Arc<Mutex<HashMap<String, watch::Sender<LinkMode>>>>,
 }
 
 impl Proxy {
-    /// Opens a link from an address of its own to a target, in the background of this
-    /// system, and returns the address.
+    /// Opens a link to a target, served in the background of the current actix system, and returns
+    /// the address on which the link listens.
     pub async fn open(&self, name: &str, target: SocketAddr) -> Result<SocketAddr> {
         let error = |err| Error::Unreachable(format!("cannot open the link {name}: {err}"));
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -83,7 +83,7 @@
         Ok(address)
     }
 
-    /// Sets the mode of all links whose name contains a text.
+    /// Sets the mode of all links whose name contains `part`.
     pub fn set(&self, part: &str, mode: LinkMode) {
         let links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
         for (_, link) in links.iter().filter(|(name, _)| name.contains(part)) {
@@ -93,7 +93,7 @@
 }
 
 async fn accept(listener: TcpListener, target: SocketAddr, mode: watch::Receiver<LinkMode>) {
-    let lanes = Rc::new(Lanes::default());
+    let reservations = Rc::new(BandwidthReservations::default());
     while let Ok((caller, _)) = listener.accept().await {
         let present = *mode.borrow();
         if present == LinkMode::Closed {
@@ -103,7 +103,7 @@
             reset(&socket2::SockRef::from(&caller));
             continue;
         }
-        actix_rt::spawn(connect(caller, target, mode.clone(), lanes.clone()));
+        actix_rt::spawn(connect(caller, target, mode.clone(), reservations.clone()));
     }
 }
 
@@ -111,47 +111,53 @@
     caller: TcpStream,
     target: SocketAddr,
     mode: watch::Receiver<LinkMode>,
-    lanes: Rc<Lanes>,
+    reservations: Rc<BandwidthReservations>,
 ) {
     let Ok(callee) = TcpStream::connect(target).await else {
         return;
     };
     let _ = caller.set_nodelay(true);
     let _ = callee.set_nodelay(true);
-    let ends = [&caller, &callee].map(|end| socket2::SockRef::from(end).try_clone());
+    let sockets = [&caller, &callee].map(|socket| socket2::SockRef::from(socket).try_clone());
     let (from_caller, to_caller) = caller.into_split();
     let (from_callee, to_callee) = callee.into_split();
-    let gate = Rc::new(mode);
-    let there = pump(from_caller, to_callee, (*gate).clone(), &lanes, false);
-    let back = pump(from_callee, to_caller, (*gate).clone(), &lanes, true);
+    let mode = Rc::new(mode);
+    let requests = forward(
+        from_caller,
+        to_callee,
+        (*mode).clone(),
+        &reservations,
+        false,
+    );
+    let answers = forward(from_callee, to_caller, (*mode).clone(), &reservations, true);
     tokio::select! {
-        passed = async { tokio::try_join!(there, back) } => {
+        passed = async { tokio::try_join!(requests, answers) } => {
             if passed.is_err() {
-                ends.iter().flatten().for_each(reset);
+                sockets.iter().flatten().for_each(reset);
             }
         }
-        () = closed((*gate).clone()) => {
-            if *gate.borrow() == LinkMode::Reset {
-                ends.iter().flatten().for_each(reset);
+        () = wait_until_closed((*mode).clone()) => {
+            if *mode.borrow() == LinkMode::Reset {
+                sockets.iter().flatten().for_each(reset);
             }
         }
     }
 }
 
-/// Makes a connection end with a reset when it is dropped.
+/// Makes a connection send a reset when it is closed.
 fn reset(stream: &socket2::Socket) {
     let _ = stream.set_linger(Some(Duration::ZERO));
 }
 
-async fn closed(mut mode: watch::Receiver<LinkMode>) {
-    let ends = |mode: &LinkMode| matches!(mode, LinkMode::Closed | LinkMode::Reset);
-    if mode.wait_for(ends).await.is_err() {
+async fn wait_until_closed(mut mode: watch::Receiver<LinkMode>) {
+    let is_closing = |mode: &LinkMode| matches!(mode, LinkMode::Closed | LinkMode::Reset);
+    if mode.wait_for(is_closing).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
-/// Tells whether a mode holds the bytes of a direction.
-fn holds(mode: LinkMode, is_answer: bool) -> bool {
+/// Tells whether a mode holds back the bytes of a direction.
+fn is_stalled(mode: LinkMode, is_answer: bool) -> bool {
     match mode {
         LinkMode::Stalled => true,
         LinkMode::StalledToTarget => !is_answer,
@@ -160,13 +166,13 @@
     }
 }
 
-/// Passes bytes one way. An error of either end is passed on as a reset, so that an
-/// answer which was cut does not look like one that came to its end.
-async fn pump(
+/// Forwards bytes in one direction. An error on either socket is propagated as a reset, so that a
+/// truncated response does not look like a complete one.
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut mode: watch::Receiver<LinkMode>,
-    lanes: &Lanes,
+    reservations: &BandwidthReservations,
     is_answer: bool,
 ) -> std::io::Result<()> {
     let mut buf = vec![0; BUFFER_BYTES];
@@ -176,7 +182,7 @@
             return to.shutdown().await;
         }
         if mode
-            .wait_for(|mode| !holds(*mode, is_answer))
+            .wait_for(|mode| !is_stalled(*mode, is_answer))
             .await
             .is_err()
         {
@@ -186,7 +192,7 @@
         match present {
             LinkMode::Delayed(millis) => sleep(Duration::from_millis(millis)).await,
             LinkMode::Throttled(rate) => {
-                sleep_until(lanes.reserve(is_answer, count, rate, Instant::now())).await;
+                sleep_until(reservations.reserve(is_answer, count, rate, Instant::now())).await;
             }
             LinkMode::DropAnswers if is_answer => return Ok(()),
             _ => {}
--- a/src/lab/server.rs
+++ b/src/lab/server.rs
@@ -1,4 +1,4 @@
-//! What all stand-ins have in common: an HTTP server around a state.
+//! HTTP server shared by all stand-ins.
 
 use crate::error::{Error, Result};
 use actix_http::body::BoxBody;
@@ -13,27 +13,27 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const BODY_LIMIT: usize = 16 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
-const SHUTDOWN_SECONDS: u64 = 1;
+const SHUTDOWN_TIMEOUT_SECONDS: u64 = 1;
 
-/// A stand-in for one outside system.
+/// A stub server that replaces one external system.
 pub trait StandIn: Send + Sync + 'static {
-    /// Answers one request, whose body has been read.
-    fn answer(
+    /// Handles a request whose body has been read completely.
+    fn handle(
         self: Arc<Self>,
         req: Request,
         body: Bytes,
     ) -> LocalBoxFuture<'static, Response<BoxBody>>;
 }
 
-/// Listens on an address; port zero takes a free one.
+/// Binds a listener to an address; port 0 selects a free port.
 pub fn listen(address: SocketAddr) -> Result<TcpListener> {
     TcpListener::bind(address)
         .map_err(|err| Error::Unreachable(format!("cannot listen on {address}: {err}")))
 }
 
-/// Serves a stand-in in the background of this system.
+/// Serves a stand-in in the background of the current actix system.
 pub fn serve<S: StandIn>(
     listener: TcpListener,
     stand_in: Arc<S>,
@@ -41,7 +41,7 @@
 ) -> Result<ServerHandle> {
     let server = Server::build()
         .workers(workers)
-        .shutdown_timeout(SHUTDOWN_SECONDS)
+        .shutdown_timeout(SHUTDOWN_TIMEOUT_SECONDS)
         .disable_signals()
         .listen("stand-in", listener, move || {
             let stand_in = stand_in.clone();
@@ -49,37 +49,38 @@
                 .keep_alive(Duration::from_secs(60))
                 .h1_allow_half_closed(false)
                 .tcp_nodelay(true)
-                .finish(move |req: Request| answer(stand_in.clone(), req))
+                .finish(move |req: Request| handle_request(stand_in.clone(), req))
                 .tcp_auto_h2c()
         })
-        .map_err(|err| Error::Unreachable(format!("cannot serve: {err}")))?
+        .map_err(|err| Error::Unreachable(format!("cannot start the stand-in server: {err}")))?
         .run();
     let handle = server.handle();
     actix_rt::spawn(server);
     Ok(handle)
 }
 
-async fn answer<S: StandIn>(
+async fn handle_request<S: StandIn>(
     stand_in: Arc<S>,
     mut req: Request,
 ) -> std::result::Result<Response<BoxBody>, Infallible> {
     let mut payload = req.take_payload();
-    let body = crate::router::read_full_body(&mut payload, BODY_LIMIT, READ_TIMEOUT).await;
+    let body = crate::router::read_full_body(&mut payload, MAX_BODY_BYTES, READ_TIMEOUT).await;
     Ok(match body {
-        Ok(body) => stand_in.answer(req, body).await,
-        Err(err) => text(StatusCode::BAD_REQUEST, &err.to_string()),
+        Ok(body) => stand_in.handle(req, body).await,
+        Err(err) => text_response(StatusCode::BAD_REQUEST, &err.to_string()),
     })
 }
 
-/// Waits some milliseconds, and not at all for none: the timer's shortest wait is one.
-pub async fn pause(millis: u64) {
+/// Sleeps for some milliseconds. Zero returns at once, since the timer would sleep for at least
+/// one millisecond.
+pub async fn sleep_ms(millis: u64) {
     if millis > 0 {
         tokio::time::sleep(Duration::from_millis(millis)).await;
     }
 }
 
-/// Returns an answer in JSON.
-pub fn json(value: &impl Serialize) -> Response<BoxBody> {
+/// Returns a 200 response with a JSON body.
+pub fn json_response(value: &impl Serialize) -> Response<BoxBody> {
     let body = serde_json::to_vec(value).unwrap_or_default();
     Response::build(StatusCode::OK)
         .insert_header((CONTENT_TYPE, "application/json"))
@@ -87,8 +88,8 @@
         .map_into_boxed_body()
 }
 
-/// Returns an answer of a line of text.
-pub fn text(status: StatusCode, message: &str) -> Response<BoxBody> {
+/// Returns a response with a plain text body.
+pub fn text_response(status: StatusCode, message: &str) -> Response<BoxBody> {
     Response::build(status)
         .body(message.to_owned())
         .map_into_boxed_body()
--- a/src/lab/service.rs
+++ b/src/lab/service.rs
@@ -1,7 +1,7 @@
-//! A stand-in for a plain service, which records what ran.
+//! A stand-in for a plain service, which records the requests that it ran.
 
-use super::model::{Run, TRY_HEADER, header};
-use super::server::{StandIn, json, pause};
+use super::model::{RunRecord, TRY_HEADER, header};
+use super::server::{StandIn, json_response, sleep_ms};
 use crate::clock::Now;
 use actix_http::body::BoxBody;
 use actix_http::header::CONTENT_TYPE;
@@ -11,13 +11,13 @@
 use serde::{Deserialize, Serialize};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// How a plain service behaves.
+/// Behaviour of a plain service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ServiceBehaviour {
-    /// Milliseconds to an answer.
+    /// Milliseconds until a response.
     pub delay_ms: u64,
-    /// Bytes of an answer to a read.
+    /// Body size in bytes of a response to a read.
     pub bytes: usize,
 }
 
@@ -30,15 +30,15 @@
     }
 }
 
-/// The stand-in.
+/// The plain service stand-in.
 #[derive(Debug, Default)]
 pub struct ServiceStandIn {
     behaviour: Mutex<ServiceBehaviour>,
-    runs: Mutex<Vec<Run>>,
+    runs: Mutex<Vec<RunRecord>>,
 }
 
 impl ServiceStandIn {
-    /// Sets how the service behaves.
+    /// Sets the behaviour of the service.
     pub fn set_behaviour(&self, behaviour: ServiceBehaviour) {
         *self
             .behaviour
@@ -46,8 +46,8 @@
             .unwrap_or_else(PoisonError::into_inner) = behaviour;
     }
 
-    /// Returns what ran so far of requests that change something.
-    pub fn runs(&self) -> Vec<Run> {
+    /// Returns the requests that ran so far, except reads.
+    pub fn runs(&self) -> Vec<RunRecord> {
         self.runs
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -62,12 +62,12 @@
         let id = header(req, "x-request-id");
         let mut res = Response::build(StatusCode::OK);
         if matches!(*req.method(), Method::GET | Method::HEAD) {
-            pause(behaviour.delay_ms).await;
+            sleep_ms(behaviour.delay_ms).await;
             return res
                 .body(Bytes::from(vec![b'm'; behaviour.bytes]))
                 .map_into_boxed_body();
         }
-        let run = Run {
+        let run = RunRecord {
             request_id: id.clone(),
             organisation: header(req, "gatepier-organisation"),
             ran: format!("{} {}", req.method(), req.path()),
@@ -79,7 +79,7 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .push(run);
-        pause(behaviour.delay_ms).await;
+        sleep_ms(behaviour.delay_ms).await;
         res.insert_header((CONTENT_TYPE, "application/json"));
         let answer = serde_json::json!({ "saved": id, "bytes": body.len() });
         res.body(answer.to_string()).map_into_boxed_body()
@@ -87,19 +87,19 @@
 }
 
 impl StandIn for ServiceStandIn {
-    fn answer(
+    fn handle(
         self: Arc<Self>,
         req: Request,
         body: Bytes,
     ) -> LocalBoxFuture<'static, Response<BoxBody>> {
         Box::pin(async move {
             match req.path() {
-                "/lab/runs" => json(&self.runs()),
+                "/lab/runs" => json_response(&self.runs()),
                 "/lab/behaviour" => {
                     if let Ok(behaviour) = serde_json::from_slice(&body) {
                         self.set_behaviour(behaviour);
                     }
-                    json(
+                    json_response(
                         &*self
                             .behaviour
                             .lock()
--- a/src/lab/store.rs
+++ b/src/lab/store.rs
@@ -1,9 +1,9 @@
-//! A stand-in for the platform's key-value service, in the etcd v3 JSON gateway's form.
+//! A stand-in for the platform's key-value service with the API of the etcd v3 JSON gateway.
 //!
-//! `POST /lab/faults` makes it refuse calls, lose answers after their effect, or
-//! answer late.
+//! `POST /lab/faults` makes it refuse calls, drop the answers of writes that took effect, or
+//! delay answers.
 
-use super::server::{StandIn, json, pause, text};
+use super::server::{StandIn, json_response, sleep_ms, text_response};
 use crate::store::etcd::{
     Compare, KeyValue, Operation, OperationResponse, PutRequest, RangeRequest, RangeResponse,
     TxnRequest, TxnResponse, WatchEvent, WatchLine, WatchRequest, WatchResult, decode, encode,
@@ -21,18 +21,18 @@
 use tokio::sync::broadcast;
 use tokio::time::sleep;
 
-const EVENTS_QUEUED: usize = 1024;
+const EVENT_QUEUE_CAPACITY: usize = 1024;
 const LOST_ANSWER_DELAY: Duration = Duration::from_secs(4);
 
-/// How the stand-in misbehaves.
+/// Faults injected into the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct StoreFaults {
-    /// Whether every call is refused.
+    /// Whether every call is refused with status 503.
     pub down: bool,
-    /// How many of the next writes take effect without an answer.
+    /// How many of the next writes take effect without being answered in time.
     pub lose_answers: u32,
-    /// Milliseconds by which every answer is late.
+    /// Milliseconds by which every answer is delayed.
     pub delay_ms: u64,
 }
 
@@ -43,7 +43,7 @@
     faults: StoreFaults,
 }
 
-/// The stand-in.
+/// The key-value service stand-in.
 #[derive(Debug)]
 pub struct StoreStandIn {
     state: Mutex<State>,
@@ -54,7 +54,7 @@
     fn default() -> Self {
         Self {
             state: Mutex::default(),
-            events: broadcast::channel(EVENTS_QUEUED).0,
+            events: broadcast::channel(EVENT_QUEUE_CAPACITY).0,
         }
     }
 }
@@ -92,7 +92,7 @@
         }
     }
 
-    fn holds(&self, compare: &Compare) -> bool {
+    fn matches(&self, compare: &Compare) -> bool {
         let key = decode(&compare.key).unwrap_or_default();
         let revision = self.values.get(&key).map_or(0, |(_, revision)| *revision);
         compare.mod_revision == revision.to_string()
@@ -108,12 +108,12 @@
 }
 
 impl StoreStandIn {
-    /// Sets how the stand-in misbehaves.
+    /// Sets the faults to inject.
     pub fn set_faults(&self, faults: StoreFaults) {
         self.with_state(|state| state.faults = faults);
     }
 
-    /// Writes a key behind the system's back.
+    /// Writes a key directly, bypassing the HTTP API.
     pub fn write(&self, key: &str, value: &[u8]) {
         let put = PutRequest {
             key: encode(key),
@@ -128,8 +128,8 @@
     }
 
     fn txn(&self, txn: &TxnRequest) -> (TxnResponse, bool) {
-        let (response, written, lost) = self.with_state(|state| {
-            let succeeded = txn.compare.iter().all(|compare| state.holds(compare));
+        let (response, written, is_answer_lost) = self.with_state(|state| {
+            let succeeded = txn.compare.iter().all(|compare| state.matches(compare));
             let operations = if succeeded {
                 &txn.success
             } else {
@@ -147,8 +147,8 @@
                 };
                 responses.push(OperationResponse { response_range });
             }
-            let lost = !written.is_empty() && state.faults.lose_answers > 0;
-            if lost {
+            let is_answer_lost = !written.is_empty() && state.faults.lose_answers > 0;
+            if is_answer_lost {
                 state.faults.lose_answers -= 1;
             }
             (
@@ -157,14 +157,14 @@
                     responses,
                 },
                 written,
-                lost,
+                is_answer_lost,
             )
         });
         for event in written {
-            // Nobody may be watching.
+            // Sending fails when there are no watchers.
             let _ = self.events.send(event);
         }
-        (response, lost)
+        (response, is_answer_lost)
     }
 
     fn watch(self: Arc<Self>, watch: &WatchRequest) -> Response<BoxBody> {
@@ -191,7 +191,7 @@
             created: true,
             events: Vec::new(),
         };
-        let first = [Some(line(created)), missed.map(event_line)]
+        let first = [Some(watch_line(created)), missed.map(event_line)]
             .into_iter()
             .flatten();
         let later = stream::unfold(events, move |mut events| {
@@ -219,14 +219,14 @@
     }
 }
 
-fn line(result: WatchResult) -> Bytes {
-    let mut line = serde_json::to_vec(&WatchLine { result }).unwrap_or_default();
-    line.push(b'\n');
-    line.into()
+fn watch_line(result: WatchResult) -> Bytes {
+    let mut watch_line = serde_json::to_vec(&WatchLine { result }).unwrap_or_default();
+    watch_line.push(b'\n');
+    watch_line.into()
 }
 
 fn event_line(kv: KeyValue) -> Bytes {
-    line(WatchResult {
+    watch_line(WatchResult {
         created: false,
         events: vec![WatchEvent { kv }],
     })
@@ -237,7 +237,7 @@
 }
 
 impl StandIn for StoreStandIn {
-    fn answer(
+    fn handle(
         self: Arc<Self>,
         req: Request,
         body: Bytes,
@@ -246,35 +246,38 @@
             let faults = self.with_state(|state| state.faults);
             if req.path() == "/lab/faults" {
                 let Some(faults) = parse(&body) else {
-                    return text(StatusCode::BAD_REQUEST, "no faults given");
+                    return text_response(StatusCode::BAD_REQUEST, "invalid faults");
                 };
                 self.with_state(|state| state.faults = faults);
-                return text(StatusCode::OK, "done");
+                return text_response(StatusCode::OK, "done");
             }
             if faults.down {
-                return text(StatusCode::SERVICE_UNAVAILABLE, "down");
+                return text_response(StatusCode::SERVICE_UNAVAILABLE, "down");
             }
-            pause(faults.delay_ms).await;
-            let bad = || text(StatusCode::BAD_REQUEST, "the call cannot be read");
+            sleep_ms(faults.delay_ms).await;
+            let bad_request = || text_response(StatusCode::BAD_REQUEST, "invalid request");
             match req.path() {
-                "/v3/kv/range" => parse(&body).map_or_else(bad, |query: RangeRequest| {
-                    json(&self.with_state(|state| state.range(&query)))
+                "/v3/kv/range" => parse(&body).map_or_else(bad_request, |query: RangeRequest| {
+                    json_response(&self.with_state(|state| state.range(&query)))
                 }),
                 "/v3/kv/txn" => {
                     let Some(txn) = parse::<TxnRequest>(&body) else {
-                        return bad();
+                        return bad_request();
                     };
-                    let (response, lost) = self.txn(&txn);
-                    if lost {
+                    let (response, is_answer_lost) = self.txn(&txn);
+                    if is_answer_lost {
                         sleep(LOST_ANSWER_DELAY).await;
-                        return text(StatusCode::GATEWAY_TIMEOUT, "the answer is lost");
+                        return text_response(
+                            StatusCode::GATEWAY_TIMEOUT,
+                            "the answer is is_answer_lost",
+                        );
                     }
-                    json(&response)
+                    json_response(&response)
                 }
                 "/v3/watch" => {
-                    parse(&body).map_or_else(bad, |watch: WatchRequest| self.watch(&watch))
+                    parse(&body).map_or_else(bad_request, |watch: WatchRequest| self.watch(&watch))
                 }
-                _ => text(StatusCode::NOT_FOUND, "not found"),
+                _ => text_response(StatusCode::NOT_FOUND, "not found"),
             }
         })
     }
--- a/tests/chaos.rs
+++ b/tests/chaos.rs
@@ -11,7 +11,7 @@
     Answer, Bench, BenchPlan, CallerView, Operators, completion_body, read_answer,
     streaming_completion_body,
 };
-use gatepier::lab::model::{Run, TRY_HEADER};
+use gatepier::lab::model::{RunRecord, TRY_HEADER};
 use gatepier::lab::proxy::LinkMode;
 use gatepier::lab::store::StoreFaults;
 use rand::rngs::StdRng;
@@ -342,7 +342,12 @@
     }
 }
 
-fn check_runs(verdict: &mut Verdict, log: &[TryLog], service_runs: &[Run], model_runs: &[Run]) {
+fn check_runs(
+    verdict: &mut Verdict,
+    log: &[TryLog],
+    service_runs: &[RunRecord],
+    model_runs: &[RunRecord],
+) {
     let mut by_key: HashMap<&str, usize> = HashMap::new();
     for run in service_runs {
         *by_key.entry(&run.request_id).or_default() += 1;
@@ -350,7 +355,7 @@
     for (key, count) in by_key {
         verdict.check(count == 1, || format!("bookmark {key} ran {count} times"));
     }
-    let ran: HashMap<&str, &Run> = service_runs
+    let ran: HashMap<&str, &RunRecord> = service_runs
         .iter()
         .chain(model_runs)
         .map(|run| (run.caller_try.as_str(), run))
@@ -414,7 +419,7 @@
     }
 }
 
-async fn check_ledger(verdict: &mut Verdict, bench: &Bench, log: &[TryLog], runs: &[Run]) {
+async fn check_ledger(verdict: &mut Verdict, bench: &Bench, log: &[TryLog], runs: &[RunRecord]) {
     let missing = async || {
         let ledger = bench.ledger().await;
         let billed = log.iter().filter(|tried| must_be_billed(tried));
@@ -443,7 +448,7 @@
 async fn check_changes(
     verdict: &mut Verdict,
     bench: &Bench,
-    model_runs: &[Run],
+    model_runs: &[RunRecord],
     at_ms: Option<u64>,
 ) {
     let audit = bench.operate_ok(0, &["--json", "audit"]).await;
@@ -535,19 +540,19 @@
     bench.wait_ready().await;
     let mut verdict = Verdict::default();
     let log = log.take();
-    let service_runs: Vec<Run> = bench
+    let service_runs: Vec<RunRecord> = bench
         .services
         .iter()
         .flat_map(|service| service.stand_in.runs())
         .collect();
-    let model_runs: Vec<Run> = bench
+    let model_runs: Vec<RunRecord> = bench
         .models
         .iter()
         .flat_map(|model| model.stand_in.runs())
         .collect();
     check_runs(&mut verdict, &log, &service_runs, &model_runs);
     check_answers(&mut verdict, &log);
-    let runs: Vec<Run> = service_runs.iter().chain(&model_runs).cloned().collect();
+    let runs: Vec<RunRecord> = service_runs.iter().chain(&model_runs).cloned().collect();
     check_ledger(&mut verdict, &bench, &log, &runs).await;
     check_changes(&mut verdict, &bench, &model_runs, disturber.withdrawn_at_ms).await;
     let broken = bench.log_count("invariant:");
--- a/tests/common/startup.rs
+++ b/tests/common/startup.rs
@@ -6,7 +6,7 @@
 };
 use gatepier::lab::fleet::Fleet;
 use gatepier::lab::fleet::FleetPlan;
-use gatepier::lab::fleet::Wiring;
+use gatepier::lab::fleet::PlatformAddresses;
 use gatepier::lab::model::ModelStandIn;
 use gatepier::lab::platform::ListChange;
 use gatepier::lab::platform::PlatformStandIn;
@@ -110,12 +110,12 @@
                 .await
                 .unwrap()
         };
-        let wiring = Wiring {
+        let addresses = PlatformAddresses {
             store: link("store", self.store_address).await,
             list: link("list", platform).await,
             rater: link("rater", platform).await,
         };
-        let files = self.fleet.add_box(name, hall, wiring).unwrap();
+        let files = self.fleet.add_box(name, hall, addresses).unwrap();
         for (from, platform) in &self.platforms {
             let address = if from == hall {
                 files.agent
@@ -188,7 +188,7 @@
         self.store_address
     }
 
-    /// Lists a service's and a model's stand-in by their own wiring, bypassing the proxy, and
+    /// Lists a service's and a model's stand-in by their own addresses, bypassing the proxy, and
     /// waits until the hall's first box has read that revision of the list.
     pub async fn list_without_proxy(&self, service: &str, model: &str, hall: &str) {
         let versions = ["small/s1", "small/s2", "large/l1"];
@@ -276,7 +276,7 @@
         Process::start(binary, settings, &self.log_file)
     }
 
-    /// Starts a second router on the wiring of a box, and returns it once it is ready to take
+    /// Starts a second router on the addresses of a box, and returns it once it is ready to take
     /// over from the first.
     pub async fn start_successor(&self, name: &str) -> Process {
         const READY_LOG: &str = "\"text\":\"ready\"";
