--- a/tests/chaos.rs
+++ b/tests/chaos.rs
@@ -1,9 +1,10 @@
-//! Long randomised runs: real processes under a schedule of faults drawn from one seed.
+//! Randomised fault injection: real processes under a fault schedule drawn from one seed.
 //!
-//! `GATEPIER_CHAOS_SEED`, `GATEPIER_CHAOS_SECONDS` and `GATEPIER_CHAOS_PAUSE_MS` (the
-//! longest pause between two faults; many faults last for seconds) set the run. The checker works
-//! from the outside: the stand-ins' records of what ran, the ledger in the store, and
-//! the callers' own record. The last line is `seed S: N requests, F faults, V violations`.
+//! `GATEPIER_CHAOS_SEED`, `GATEPIER_CHAOS_SECONDS` and `GATEPIER_CHAOS_PAUSE_MS` (the longest
+//! pause between two faults; many faults last for seconds, so they overlap) configure the run. The
+//! invariants are checked from outside the system: against the stand-ins' records of what ran, the
+//! ledger in the store, and the responses that the callers got. The last line of output is
+//! `seed S: N requests, F faults, V violations`.
 
 mod common;
 
@@ -24,62 +25,68 @@
 
 const DEFAULT_SEED: u64 = 20_261_202;
 const DEFAULT_SECONDS: u64 = 12;
-const DEFAULT_PAUSE_MS: u64 = 1_500;
-const SHORTEST_PAUSE_MS: u64 = 50;
+const DEFAULT_MAX_PAUSE_MS: u64 = 1_500;
+const MIN_PAUSE_MS: u64 = 50;
 const CALLERS: usize = 12;
-const MOST_TRIES: usize = 4;
+const MAX_ATTEMPTS: usize = 4;
 const BOXES: [&str; 4] = ["ikeja-1", "ikeja-2", "lekki-1", "lekki-2"];
 const CALLER_TIMEOUT: Duration = Duration::from_secs(8);
-/// By the letter, a change is in force everywhere within this time; a box that is frozen
-/// or cut off gets it once it can hear of it.
+/// A change must be in force on all boxes within this time; a box that is suspended or partitioned
+/// gets it once it can be reached again.
 const IN_FORCE_LIMIT_MS: u64 = 13_000;
 
-/// What a caller asked for.
+/// The kinds of requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Kind {
+enum RequestKind {
     Bookmark,
-    Whole,
+    Completion,
     Stream,
     Manifest,
 }
 
-/// One try, as its caller saw it.
+/// One attempt of a request and the response that its caller got.
 #[derive(Debug, Clone)]
-struct TryLog {
+struct AttemptRecord {
     key: String,
     name: String,
-    kind: Kind,
+    kind: RequestKind,
     organisation: &'static str,
     answer: Answer,
 }
 
-/// All that callers saw.
-type Log = Rc<RefCell<Vec<TryLog>>>;
+/// The attempts of all callers.
+type Log = Rc<RefCell<Vec<AttemptRecord>>>;
 
-fn setting(name: &str, default: u64) -> u64 {
+fn env_or_default(name: &str, default: u64) -> u64 {
     std::env::var(name)
         .ok()
         .and_then(|text| text.parse().ok())
         .unwrap_or(default)
 }
 
-async fn send(bench: &CallerView, name: &str, kind: Kind, key: &str, try_name: &str) -> Answer {
+async fn send(
+    bench: &CallerView,
+    name: &str,
+    kind: RequestKind,
+    key: &str,
+    attempt_name: &str,
+) -> Answer {
     let organisation = organisation_of(key);
     let (method, path) = match kind {
-        Kind::Bookmark => ("POST", "/reader-api/bookmarks"),
-        Kind::Manifest => ("GET", "/reader-api/manifest"),
-        Kind::Whole | Kind::Stream => ("POST", "/v1/chat/completions"),
+        RequestKind::Bookmark => ("POST", "/reader-api/bookmarks"),
+        RequestKind::Manifest => ("GET", "/reader-api/manifest"),
+        RequestKind::Completion | RequestKind::Stream => ("POST", "/v1/chat/completions"),
     };
     let request = bench
         .request(name, organisation, method, path)
         .insert_header(("idempotency-key", key))
-        .insert_header((TRY_HEADER, try_name));
+        .insert_header((TRY_HEADER, attempt_name));
     let sent = async {
         read_answer(match kind {
-            Kind::Bookmark => request.send_body("page 7").await,
-            Kind::Manifest => request.send().await,
-            Kind::Whole => request.send_json(&completion_body("small")).await,
-            Kind::Stream => request.send_json(&streaming_completion_body("small")).await,
+            RequestKind::Bookmark => request.send_body("page 7").await,
+            RequestKind::Manifest => request.send().await,
+            RequestKind::Completion => request.send_json(&completion_body("small")).await,
+            RequestKind::Stream => request.send_json(&streaming_completion_body("small")).await,
         })
         .await
     };
@@ -102,32 +109,32 @@
     }
 }
 
-/// One caller: sends requests, and repeats those that got no whole answer.
-async fn call(bench: &CallerView, caller: usize, seed: u64, until: Instant, log: Log) {
+/// Runs one caller, which sends requests and retries those without a complete 200 response.
+async fn run_caller(bench: &CallerView, caller: usize, seed: u64, until: Instant, log: Log) {
     let mut rng = StdRng::seed_from_u64(seed ^ (caller as u64 + 1) << 32);
     let mut number = 0;
     while Instant::now() < until {
         number += 1;
         let kinds = [
-            Kind::Bookmark,
-            Kind::Bookmark,
-            Kind::Whole,
-            Kind::Stream,
-            Kind::Manifest,
+            RequestKind::Bookmark,
+            RequestKind::Bookmark,
+            RequestKind::Completion,
+            RequestKind::Stream,
+            RequestKind::Manifest,
         ];
         let kind = *kinds.choose(&mut rng).unwrap();
         let organisation = if rng.random_bool(0.3) { "t" } else { "c" };
         let key = format!("{caller}-{number}-{organisation}");
-        for attempt in 0..MOST_TRIES {
+        for attempt in 0..MAX_ATTEMPTS {
             let name = *BOXES.choose(&mut rng).unwrap();
-            let try_name = format!("{key}-{attempt}");
-            let answer = send(bench, name, kind, &key, &try_name).await;
+            let attempt_name = format!("{key}-{attempt}");
+            let answer = send(bench, name, kind, &key, &attempt_name).await;
             let done = answer.status == 200 && answer.whole;
             let organisation = organisation_of(&key);
             let key = key.clone();
-            log.borrow_mut().push(TryLog {
+            log.borrow_mut().push(AttemptRecord {
                 key,
-                name: try_name,
+                name: attempt_name,
                 kind,
                 organisation,
                 answer,
@@ -141,80 +148,80 @@
     }
 }
 
-/// A fault that is to be healed at a moment.
-struct Healing {
+/// A repair of a fault, scheduled for a time.
+struct ScheduledRepair {
     at: Instant,
-    heal: Heal,
+    repair: Repair,
 }
 
-enum Heal {
-    ThawAgent(&'static str),
-    ThawRouter(&'static str),
+enum Repair {
+    ResumeAgent(&'static str),
+    ResumeRouter(&'static str),
     StartAgent(&'static str),
     StartRouter(&'static str),
     OpenLinks(Vec<String>),
-    MendStore,
+    ClearStoreFaults,
 }
 
-/// Draws faults from the seed and brings them about.
-struct Disturber {
+/// Draws faults from the seed and injects them.
+struct FaultInjector {
     rng: StdRng,
-    healings: Vec<Healing>,
+    repairs: Vec<ScheduledRepair>,
     faults: usize,
     generation_changes: usize,
     withdrawn_at_ms: Option<u64>,
 }
 
-impl Disturber {
-    fn busy(&self, name: &str) -> bool {
-        self.healings.iter().any(|healing| match healing.heal {
-            Heal::ThawAgent(other)
-            | Heal::ThawRouter(other)
-            | Heal::StartAgent(other)
-            | Heal::StartRouter(other) => other == name,
-            Heal::OpenLinks(_) | Heal::MendStore => false,
+impl FaultInjector {
+    fn has_pending_repair(&self, name: &str) -> bool {
+        self.repairs.iter().any(|scheduled| match scheduled.repair {
+            Repair::ResumeAgent(other)
+            | Repair::ResumeRouter(other)
+            | Repair::StartAgent(other)
+            | Repair::StartRouter(other) => other == name,
+            Repair::OpenLinks(_) | Repair::ClearStoreFaults => false,
         })
     }
 
-    fn heal_later(&mut self, least_ms: u64, most_ms: u64, heal: Heal) {
-        let after = Duration::from_millis(self.rng.random_range(least_ms..most_ms));
-        self.healings.push(Healing {
+    fn schedule_repair(&mut self, min_ms: u64, max_ms: u64, repair: Repair) {
+        let after = Duration::from_millis(self.rng.random_range(min_ms..max_ms));
+        self.repairs.push(ScheduledRepair {
             at: Instant::now() + after,
-            heal,
+            repair,
         });
     }
 
-    fn cut(&mut self, bench: &Bench, links: Vec<String>) {
+    fn partition(&mut self, bench: &Bench, links: Vec<String>) {
         let mode = *[LinkMode::Closed, LinkMode::Stalled]
             .choose(&mut self.rng)
             .unwrap();
         links.iter().for_each(|link| bench.proxy.set(link, mode));
-        self.heal_later(300, 5000, Heal::OpenLinks(links));
+        self.schedule_repair(300, 5000, Repair::OpenLinks(links));
     }
 
-    async fn disturb(&mut self, bench: &RefCell<Bench>, operators: &Operators) {
+    async fn inject(&mut self, bench: &RefCell<Bench>, operators: &Operators) {
         self.faults += 1;
         let name = *BOXES.choose(&mut self.rng).unwrap();
         let choice = self.rng.random_range(0..14);
-        if matches!(choice, 0..=5) && self.busy(name) {
+        if matches!(choice, 0..=5) && self.has_pending_repair(name) {
             return;
         }
         match choice {
             0 | 1 => {
                 bench.borrow_mut().agent(name).kill();
-                self.heal_later(50, 3000, Heal::StartAgent(name));
+                self.schedule_repair(50, 3000, Repair::StartAgent(name));
             }
             2 | 3 => {
                 bench.borrow_mut().agent(name).suspend();
-                self.heal_later(200, 6000, Heal::ThawAgent(name));
+                self.schedule_repair(200, 6000, Repair::ResumeAgent(name));
             }
             4 => {
                 bench.borrow_mut().router(name).kill();
-                self.heal_later(50, 1000, Heal::StartRouter(name));
+                self.schedule_repair(50, 1000, Repair::StartRouter(name));
             }
             5 => {
                 bench.borrow_mut().router(name).suspend();
-                self.heal_later(100, 3000, Heal::ThawRouter(name));
+                self.schedule_repair(100, 3000, Repair::ResumeRouter(name));
             }
             6 => {
                 let hall = if self.rng.random_bool(0.5) {
@@ -229,14 +236,14 @@
                     format!("{hall}>{other}"),
                     format!("{other}>{hall}"),
                 ];
-                self.cut(&bench.borrow(), links.to_vec());
+                self.partition(&bench.borrow(), links.to_vec());
             }
             7 => {
                 bench.borrow().set_store_faults(StoreFaults {
                     down: true,
                     ..StoreFaults::default()
                 });
-                self.heal_later(300, 6000, Heal::MendStore);
+                self.schedule_repair(300, 6000, Repair::ClearStoreFaults);
             }
             8 => {
                 let lose_answers = self.rng.random_range(1..6);
@@ -251,7 +258,7 @@
                     delay_ms,
                     ..StoreFaults::default()
                 });
-                self.heal_later(300, 4000, Heal::MendStore);
+                self.schedule_repair(300, 4000, Repair::ClearStoreFaults);
             }
             10 | 11 => {
                 let upstreams = [
@@ -266,19 +273,19 @@
                     .borrow()
                     .proxy
                     .set(&link, *modes.choose(&mut self.rng).unwrap());
-                self.heal_later(200, 3000, Heal::OpenLinks(vec![link]));
+                self.schedule_repair(200, 3000, Repair::OpenLinks(vec![link]));
             }
-            12 => self.race_operators(operators).await,
+            12 => self.run_concurrent_operators(operators).await,
             _ => {
                 bench.borrow_mut().agent(name).signal(libc::SIGTERM);
-                if !self.busy(name) {
-                    self.heal_later(4000, 8000, Heal::StartAgent(name));
+                if !self.has_pending_repair(name) {
+                    self.schedule_repair(4000, 8000, Repair::StartAgent(name));
                 }
             }
         }
     }
 
-    async fn race_operators(&mut self, operators: &Operators) {
+    async fn run_concurrent_operators(&mut self, operators: &Operators) {
         self.generation_changes += 1;
         let percent = self.rng.random_range(0..100).to_string();
         if self.generation_changes == 3 {
@@ -300,51 +307,51 @@
         }
     }
 
-    fn heal(&mut self, bench: &RefCell<Bench>, now: Option<Instant>) {
-        let is_due = |healing: &Healing| now.is_none_or(|now| healing.at <= now);
-        let (due, later) = self.healings.drain(..).partition(is_due);
-        self.healings = later;
-        for Healing { heal, .. } in due {
+    fn apply_due_repairs(&mut self, bench: &RefCell<Bench>, now: Option<Instant>) {
+        let is_due = |scheduled: &ScheduledRepair| now.is_none_or(|now| scheduled.at <= now);
+        let (due, later) = self.repairs.drain(..).partition(is_due);
+        self.repairs = later;
+        for ScheduledRepair { repair, .. } in due {
             let mut bench = bench.borrow_mut();
-            match heal {
-                Heal::ThawAgent(name) => bench.agent(name).resume(),
-                Heal::ThawRouter(name) => bench.router(name).resume(),
-                Heal::StartAgent(name) => {
+            match repair {
+                Repair::ResumeAgent(name) => bench.agent(name).resume(),
+                Repair::ResumeRouter(name) => bench.router(name).resume(),
+                Repair::StartAgent(name) => {
                     bench.agent(name).kill();
                     bench.start_agent(name);
                 }
-                Heal::StartRouter(name) => {
+                Repair::StartRouter(name) => {
                     bench.router(name).kill();
                     bench.start_router(name);
                 }
-                Heal::OpenLinks(links) => {
+                Repair::OpenLinks(links) => {
                     links
                         .iter()
                         .for_each(|link| bench.proxy.set(link, LinkMode::Open));
                 }
-                Heal::MendStore => bench.set_store_faults(StoreFaults::default()),
+                Repair::ClearStoreFaults => bench.set_store_faults(StoreFaults::default()),
             }
         }
     }
 }
 
-/// What the checker found.
+/// The invariant violations found so far.
 #[derive(Default)]
-struct Verdict {
-    violations: Vec<String>,
+struct Violations {
+    found: Vec<String>,
 }
 
-impl Verdict {
+impl Violations {
     fn check(&mut self, holds: bool, what: impl FnOnce() -> String) {
         if !holds {
-            self.violations.push(what());
+            self.found.push(what());
         }
     }
 }
 
 fn check_runs(
-    verdict: &mut Verdict,
-    log: &[TryLog],
+    violations: &mut Violations,
+    log: &[AttemptRecord],
     service_runs: &[RunRecord],
     model_runs: &[RunRecord],
 ) {
@@ -353,63 +360,74 @@
         *by_key.entry(&run.request_id).or_default() += 1;
     }
     for (key, count) in by_key {
-        verdict.check(count == 1, || format!("bookmark {key} ran {count} times"));
+        violations.check(count == 1, || format!("bookmark {key} ran {count} times"));
     }
     let ran: HashMap<&str, &RunRecord> = service_runs
         .iter()
         .chain(model_runs)
         .map(|run| (run.caller_try.as_str(), run))
         .collect();
-    for tried in log
+    for attempt in log
         .iter()
-        .filter(|tried| tried.answer.outcome() == "not-run")
+        .filter(|attempt| attempt.answer.outcome() == "not-run")
     {
-        let run = ran.get(tried.name.as_str());
-        verdict.check(run.is_none(), || {
-            format!("{} was told not-run, but ran", tried.name)
+        let run = ran.get(attempt.name.as_str());
+        violations.check(run.is_none(), || {
+            format!("{} was refused as not-run, but ran", attempt.name)
         });
     }
     for run in model_runs {
         let allowed = run.organisation == "comics" || run.ran == "small/s1";
-        verdict.check(allowed, || format!("{} ran {}", run.organisation, run.ran));
+        violations.check(allowed, || format!("{} ran {}", run.organisation, run.ran));
     }
 }
 
-fn check_answers(verdict: &mut Verdict, log: &[TryLog]) {
-    for tried in log {
-        let answer = &tried.answer;
-        let told = answer.status == 0 || answer.status == 200 || !answer.outcome().is_empty();
-        verdict.check(told, || {
-            format!("{} got {} untold", tried.name, answer.status)
+fn check_answers(violations: &mut Violations, log: &[AttemptRecord]) {
+    for attempt in log {
+        let answer = &attempt.answer;
+        let has_outcome =
+            answer.status == 0 || answer.status == 200 || !answer.outcome().is_empty();
+        violations.check(has_outcome, || {
+            format!(
+                "{} got {} without an outcome header",
+                attempt.name, answer.status
+            )
         });
         if answer.status != 200 || !answer.whole {
             continue;
         }
-        let own = match tried.kind {
-            Kind::Manifest => answer.body.len() == 256,
-            Kind::Bookmark => answer.body.contains(&format!("\"{}\"", tried.key)),
-            Kind::Whole | Kind::Stream => {
-                answer.body.contains(&format!("\"id\":\"{}\"", tried.key))
+        let is_own = match attempt.kind {
+            RequestKind::Manifest => answer.body.len() == 256,
+            RequestKind::Bookmark => answer.body.contains(&format!("\"{}\"", attempt.key)),
+            RequestKind::Completion | RequestKind::Stream => {
+                answer.body.contains(&format!("\"id\":\"{}\"", attempt.key))
             }
         };
-        verdict.check(own, || {
-            format!("{} got another's answer: {}", tried.name, answer.body)
+        violations.check(is_own, || {
+            format!(
+                "{} got the response to another request: {}",
+                attempt.name, answer.body
+            )
         });
-        let ends = tried.kind != Kind::Stream || answer.body.ends_with("data: [DONE]\n\n");
-        verdict.check(ends, || {
-            format!("{} got a cut stream that looks whole", tried.name)
+        let is_terminated =
+            attempt.kind != RequestKind::Stream || answer.body.ends_with("data: [DONE]\n\n");
+        violations.check(is_terminated, || {
+            format!(
+                "{} got a truncated stream that looks complete",
+                attempt.name
+            )
         });
     }
 }
 
-fn must_be_billed(tried: &TryLog) -> bool {
-    tried.answer.status == 200 && tried.answer.whole && tried.kind != Kind::Manifest
+fn must_be_billed(attempt: &AttemptRecord) -> bool {
+    attempt.answer.status == 200 && attempt.answer.whole && attempt.kind != RequestKind::Manifest
 }
 
-/// Prints what the agents remember of bills that are missing, for whoever looks into it.
+/// Prints what the agents know about requests without a bill, to help with the diagnosis.
 async fn explain_missing(bench: &Bench, missing: &[String]) {
-    const EXPLAINED: usize = 4;
-    for key in missing.iter().take(EXPLAINED) {
+    const MAX_EXPLAINED: usize = 4;
+    for key in missing.iter().take(MAX_EXPLAINED) {
         let id = key.split(' ').next().unwrap_or("");
         let explained = bench.operate(0, &["explain", id]).await;
         println!("{}", String::from_utf8_lossy(&explained.stdout));
@@ -419,13 +437,18 @@
     }
 }
 
-async fn check_ledger(verdict: &mut Verdict, bench: &Bench, log: &[TryLog], runs: &[RunRecord]) {
+async fn check_ledger(
+    violations: &mut Violations,
+    bench: &Bench,
+    log: &[AttemptRecord],
+    runs: &[RunRecord],
+) {
     let missing = async || {
         let ledger = bench.ledger().await;
-        let billed = log.iter().filter(|tried| must_be_billed(tried));
-        let missing = billed.filter(|tried| !ledger.contains_key(&tried.key));
+        let billed = log.iter().filter(|attempt| must_be_billed(attempt));
+        let missing = billed.filter(|attempt| !ledger.contains_key(&attempt.key));
         missing
-            .map(|tried| format!("{} of {}", tried.key, tried.organisation))
+            .map(|attempt| format!("{} of {}", attempt.key, attempt.organisation))
             .collect::<Vec<_>>()
     };
     let deadline = Instant::now() + Duration::from_secs(15);
@@ -435,18 +458,18 @@
         left = missing().await;
     }
     explain_missing(bench, &left).await;
-    verdict.check(left.is_empty(), || {
+    violations.check(left.is_empty(), || {
         format!("answered but never billed: {left:?}")
     });
     let ledger = bench.ledger().await;
     for key in ledger.keys() {
         let ran = runs.iter().any(|run| run.request_id == *key);
-        verdict.check(ran, || format!("{key} is billed, but never ran"));
+        violations.check(ran, || format!("{key} is billed, but never ran"));
     }
 }
 
-async fn check_changes(
-    verdict: &mut Verdict,
+async fn check_configuration(
+    violations: &mut Violations,
     bench: &Bench,
     model_runs: &[RunRecord],
     at_ms: Option<u64>,
@@ -456,20 +479,19 @@
     let entries = audit.as_array().unwrap();
     for (position, entry) in entries.iter().enumerate() {
         let in_order = entry["generation"].as_u64() == Some(position as u64 + 1);
-        verdict.check(in_order && entry["valid"] == true, || {
-            format!("bad entry: {entry}")
+        violations.check(in_order && entry["valid"] == true, || {
+            format!("audit entry out of order or invalid: {entry}")
         });
     }
     let newest = entries.len() as u64;
     bench.wait_generation(&BOXES, newest).await;
     for status in bench.statuses().await {
         let same = status["generation"].as_u64() == Some(newest);
-        verdict.check(same, || {
-            format!("another generation than {newest}: {status}")
+        violations.check(same, || {
+            format!("generation differs from {newest}: {status}")
         });
     }
-    // The limit holds for boxes that can hear of the change; the longest fault of a
-    // schedule comes on top.
+    // The limit applies to boxes that can be reached, so the longest fault is added to it.
     const LONGEST_FAULT_MS: u64 = 8_000;
     if let Some(at_ms) = at_ms {
         let limit = at_ms + IN_FORCE_LIMIT_MS + LONGEST_FAULT_MS;
@@ -477,12 +499,12 @@
             .iter()
             .filter(|run| run.ran == "small/s2" && run.at.0 > limit)
             .count();
-        verdict.check(late == 0, || format!("{late} runs of a withdrawn version"));
+        violations.check(late == 0, || format!("{late} runs of a withdrawn version"));
     }
 }
 
-/// Starts agents that a planned stop has ended, as the platform would; one that was told
-/// just now may take some seconds to end.
+/// Restarts agents that exited after `SIGTERM`, as the platform would. Polls for a while, since a
+/// recently signalled agent may take some seconds to exit.
 async fn start_ended_agents(bench: &RefCell<Bench>) {
     const ROUNDS: usize = 20;
     for _ in 0..ROUNDS {
@@ -505,40 +527,40 @@
     let bench = RefCell::new(Bench::start(plan).await);
     let log: Log = Rc::default();
     let until = Instant::now() + Duration::from_secs(seconds);
-    let mut disturber = Disturber {
+    let mut injector = FaultInjector {
         rng: StdRng::seed_from_u64(seed),
-        healings: Vec::new(),
+        repairs: Vec::new(),
         faults: 0,
         generation_changes: 0,
         withdrawn_at_ms: None,
     };
-    let longest_pause = setting("GATEPIER_CHAOS_PAUSE_MS", DEFAULT_PAUSE_MS);
+    let max_pause_ms = env_or_default("GATEPIER_CHAOS_PAUSE_MS", DEFAULT_MAX_PAUSE_MS);
     let done = Cell::new(false);
-    // The callers' view of the bench never changes, so they have one of their own.
+    // Callers use a view of their own, since fault injection borrows the bench mutably.
     let view = bench.borrow().caller_view();
     let operators = bench.borrow().operators();
     let callers = async {
-        let calls = (0..CALLERS).map(|caller| call(&view, caller, seed, until, log.clone()));
+        let calls = (0..CALLERS).map(|caller| run_caller(&view, caller, seed, until, log.clone()));
         futures::future::join_all(calls).await;
         done.set(true);
     };
-    let disturb = async {
+    let inject = async {
         while !done.get() {
-            let pause = disturber.rng.random_range(SHORTEST_PAUSE_MS..longest_pause);
+            let pause = injector.rng.random_range(MIN_PAUSE_MS..max_pause_ms);
             actix_rt::time::sleep(Duration::from_millis(pause)).await;
             if Instant::now() < until {
-                disturber.disturb(&bench, &operators).await;
+                injector.inject(&bench, &operators).await;
             }
-            disturber.heal(&bench, Some(Instant::now()));
+            injector.apply_due_repairs(&bench, Some(Instant::now()));
         }
     };
-    futures::join!(callers, disturb);
-    disturber.heal(&bench, None);
+    futures::join!(callers, inject);
+    injector.apply_due_repairs(&bench, None);
     bench.borrow().set_store_faults(StoreFaults::default());
     start_ended_agents(&bench).await;
     let bench = bench.into_inner();
     bench.wait_ready().await;
-    let mut verdict = Verdict::default();
+    let mut violations = Violations::default();
     let log = log.take();
     let service_runs: Vec<RunRecord> = bench
         .services
@@ -550,27 +572,33 @@
         .iter()
         .flat_map(|model| model.stand_in.runs())
         .collect();
-    check_runs(&mut verdict, &log, &service_runs, &model_runs);
-    check_answers(&mut verdict, &log);
+    check_runs(&mut violations, &log, &service_runs, &model_runs);
+    check_answers(&mut violations, &log);
     let runs: Vec<RunRecord> = service_runs.iter().chain(&model_runs).cloned().collect();
-    check_ledger(&mut verdict, &bench, &log, &runs).await;
-    check_changes(&mut verdict, &bench, &model_runs, disturber.withdrawn_at_ms).await;
-    let broken = bench.log_count("invariant:");
-    verdict.check(broken == 0, || {
-        format!("{broken} invariants broken inside the daemons")
+    check_ledger(&mut violations, &bench, &log, &runs).await;
+    check_configuration(
+        &mut violations,
+        &bench,
+        &model_runs,
+        injector.withdrawn_at_ms,
+    )
+    .await;
+    let logged = bench.log_count("invariant:");
+    violations.check(logged == 0, || {
+        format!("{logged} invariant violations logged by the daemons")
     });
     let good = log
         .iter()
-        .filter(|tried| tried.answer.status == 200)
+        .filter(|attempt| attempt.answer.status == 200)
         .count();
-    println!("{good} of {} tries got an answer", log.len());
-    (log.len(), disturber.faults, verdict.violations)
+    println!("{good} of {} attempts got a response", log.len());
+    (log.len(), injector.faults, violations.found)
 }
 
 #[test]
-fn promises_hold_under_random_faults() {
-    let seed = setting("GATEPIER_CHAOS_SEED", DEFAULT_SEED);
-    let seconds = setting("GATEPIER_CHAOS_SECONDS", DEFAULT_SECONDS);
+fn invariants_hold_under_random_faults() {
+    let seed = env_or_default("GATEPIER_CHAOS_SEED", DEFAULT_SEED);
+    let seconds = env_or_default("GATEPIER_CHAOS_SECONDS", DEFAULT_SECONDS);
     common::run(async {
         let (requests, faults, violations) = run_chaos(seed, seconds).await;
         violations
