--- a/tests/bundles.rs
+++ b/tests/bundles.rs
@@ -51,7 +51,7 @@
         bench
             .wait_for(
                 &format!("{name} refuses the withdrawn version"),
-                async || bench.ask(name, "small/s2").await.status != 200,
+                async || bench.complete_as_comics(name, "small/s2").await.status != 200,
             )
             .await;
     }
@@ -86,7 +86,7 @@
         let before = bench.version_runs().get("small/s2").copied().unwrap_or(0);
         for name in ALL_BOXES {
             for _ in 0..10 {
-                bench.ask(name, "small/s2").await;
+                bench.complete_as_comics(name, "small/s2").await;
             }
         }
         expect_that!(bench.version_runs().get("small/s2").copied().unwrap_or(0), eq(before));
@@ -104,7 +104,7 @@
 
     change_succeeds_by_reading_it_back_if_the_answer_of_the_store_is_lost => async {
         let bench = Bench::start(BenchPlan::default()).await;
-        bench.set_store(StoreFaults { lose_answers: 1, ..StoreFaults::default() });
+        bench.set_store_faults(StoreFaults { lose_answers: 1, ..StoreFaults::default() });
         let output = bench.operate(0, &["withdraw", "small/s2"]).await;
         expect_that!(output.status.code(), some(eq(0)));
         bench.wait_generation(&["ikeja-1", "ikeja-2"], 3).await;
@@ -112,10 +112,10 @@
 
     change_fails_with_an_exit_code_while_the_store_is_down => async {
         let bench = Bench::start(BenchPlan::default()).await;
-        bench.set_store(StoreFaults { down: true, ..StoreFaults::default() });
+        bench.set_store_faults(StoreFaults { down: true, ..StoreFaults::default() });
         let output = bench.operate(0, &["withdraw", "small/s2"]).await;
         expect_that!(output.status.code(), some(eq(1)));
-        expect_that!(bench.ask("ikeja-1", "small").await.status, eq(200));
+        expect_that!(bench.complete_as_comics("ikeja-1", "small").await.status, eq(200));
     };
 
     entry_of_an_unknown_signer_is_ignored => async {
@@ -132,7 +132,7 @@
         }).await;
         let status = bench.status_of("ikeja-1").await.unwrap();
         expect_that!(status["generation"].as_u64(), some(eq(2)));
-        expect_that!(bench.ask("ikeja-1", "small").await.status, eq(200));
+        expect_that!(bench.complete_as_comics("ikeja-1", "small").await.status, eq(200));
         // The forged entries block neither operators nor a restarted agent.
         bench.agent("ikeja-1").kill();
         bench.start_agent("ikeja-1");
@@ -148,12 +148,12 @@
         bench.operate_ok(0, &["propose", file]).await;
         let output = bench.operate(0, &["sign", file]).await;
         expect_that!(output.status.code(), some(eq(1)));
-        expect_that!(bench.ask("ikeja-1", "small").await.status, eq(503));
+        expect_that!(bench.complete_as_comics("ikeja-1", "small").await.status, eq(503));
     };
 
     change_reaches_a_hall_that_cannot_reach_the_store => async {
         let bench = Bench::start(two_halls()).await;
-        bench.proxy.set("store:lekki", LinkMode::Silent);
+        bench.proxy.set("store:lekki", LinkMode::Stalled);
         let started = Instant::now();
         bench.operate_ok(0, &["withdraw", "small/s2"]).await;
         wait_withdrawn(&bench, &ALL_BOXES).await;
@@ -163,10 +163,10 @@
     partitioned_hall_keeps_serving_and_catches_up_after_the_partition => async {
         let bench = Bench::start(two_halls()).await;
         let cut = ["store:lekki", "list:lekki", "ikeja>lekki", "lekki>ikeja"];
-        cut.iter().for_each(|link| bench.proxy.set(link, LinkMode::Silent));
+        cut.iter().for_each(|link| bench.proxy.set(link, LinkMode::Stalled));
         bench.operate_ok(0, &["withdraw", "small/s2"]).await;
         wait_withdrawn(&bench, &["ikeja-1", "ikeja-2"]).await;
-        expect_that!(bench.ask("lekki-1", "small").await.status, eq(200));
+        expect_that!(bench.complete_as_comics("lekki-1", "small").await.status, eq(200));
         cut.iter().for_each(|link| bench.proxy.set(link, LinkMode::Open));
         let started = Instant::now();
         wait_withdrawn(&bench, &["lekki-1", "lekki-2"]).await;
@@ -177,15 +177,15 @@
         let mut bench = Bench::start(two_halls()).await;
         bench.operate_ok(0, &["withdraw", "small/s2"]).await;
         bench.wait_generation(&ALL_BOXES, 3).await;
-        bench.set_store(StoreFaults { down: true, ..StoreFaults::default() });
+        bench.set_store_faults(StoreFaults { down: true, ..StoreFaults::default() });
         bench.agent("lekki-1").kill();
         bench.router("lekki-1").kill();
         bench.start_agent("lekki-1");
         bench.start_router("lekki-1");
         let files = bench.boxes["lekki-1"].files.clone();
         bench.wait_router_ready(&files).await;
-        bench.wait_for("the box serves", async || bench.ask("lekki-1", "small").await.status == 200).await;
-        expect_that!(bench.ask("lekki-1", "small/s2").await.status, eq(503));
+        bench.wait_for("the box serves", async || bench.complete_as_comics("lekki-1", "small").await.status == 200).await;
+        expect_that!(bench.complete_as_comics("lekki-1", "small/s2").await.status, eq(503));
     };
 
     each_hall_has_exactly_one_hub => async {
@@ -208,7 +208,7 @@
     withdrawal_reaches_a_router_whose_agent_is_killed_or_frozen => async {
         let mut bench = Bench::start(two_halls()).await;
         bench.agent("ikeja-1").kill();
-        bench.agent("lekki-1").freeze();
+        bench.agent("lekki-1").suspend();
         let started = Instant::now();
         bench.operate_ok(0, &["withdraw", "small/s2"]).await;
         wait_withdrawn(&bench, &ALL_BOXES).await;
@@ -223,7 +223,7 @@
         bench.start_router("ikeja-1");
         let files = bench.boxes["ikeja-1"].files.clone();
         bench.wait_router_ready(&files).await;
-        expect_that!(bench.ask("ikeja-1", "small").await.status, eq(200));
+        expect_that!(bench.complete_as_comics("ikeja-1", "small").await.status, eq(200));
     };
 
     restarted_agent_with_older_state_does_not_revert_its_router => async {
@@ -240,7 +240,7 @@
         }
         bench.wait_generation(&["ikeja-1", "ikeja-2"], 2).await;
         for name in ["ikeja-1", "ikeja-2"] {
-            expect_that!(bench.ask(name, "small/s2").await.status, eq(503));
+            expect_that!(bench.complete_as_comics(name, "small/s2").await.status, eq(503));
         }
     };
 }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Bench, BenchPlan, KeptConnection, Process, Reply};
+use common::{Bench, BenchPlan, PersistentConnection, Process, RequestOutcome};
 use futures::future::join_all;
 use googletest::prelude::*;
 use std::cell::Cell;
@@ -23,14 +23,14 @@
 struct CallerResult {
     longest_connect_time: Duration,
     served: usize,
-    not_served: Vec<Reply>,
+    not_served: Vec<RequestOutcome>,
 }
 
 async fn call_until(router: SocketAddr, is_stopped: Rc<Cell<bool>>) -> CallerResult {
     let mut result = CallerResult::default();
     while !is_stopped.get() {
         let started = Instant::now();
-        let mut connection = KeptConnection::open(router).await;
+        let mut connection = PersistentConnection::open(router).await;
         result.longest_connect_time = result.longest_connect_time.max(started.elapsed());
         match connection.read_manifest().await {
             reply if reply.is_served() => result.served += 1,
@@ -71,9 +71,9 @@
     }
 
     async fn wait_for_exit(&self, router: &mut Process) {
-        let has_exited = async || router.ended().is_some();
+        let has_exited = async || router.exit_success().is_some();
         self.bench.wait_for("a router has exited", has_exited).await;
-        expect_that!(router.ended(), some(eq(true)));
+        expect_that!(router.exit_success(), some(eq(true)));
     }
 
     /// Stops the callers, and returns the results of each.
@@ -96,7 +96,7 @@
 }
 
 fn expect_all_served(results: &[CallerResult]) {
-    let not_served: Vec<&Reply> = results
+    let not_served: Vec<&RequestOutcome> = results
         .iter()
         .flat_map(|result| &result.not_served)
         .collect();
@@ -157,9 +157,9 @@
     /// for it.
     successor_of_a_frozen_router_opens_its_own_socket => async {
         let mut bench = Bench::start(BenchPlan::default()).await;
-        bench.router("ikeja-1").freeze();
+        bench.router("ikeja-1").suspend();
         let _successor = bench.start_successor("ikeja-1").await;
         expect_that!(bench.log_count(TAKEN_OVER_LOG_TEXT), eq(0));
-        bench.router("ikeja-1").thaw();
+        bench.router("ikeja-1").resume();
     };
 }
--- a/tests/measure.rs
+++ b/tests/measure.rs
@@ -6,9 +6,9 @@
 
 mod common;
 
-use common::{Bench, BenchPlan, question, streamed_question};
+use common::{Bench, BenchPlan, completion_body, streaming_completion_body};
 use gatepier::lab::load::{LoadPlan, LoadReport};
-use gatepier::lab::model::Behaviour;
+use gatepier::lab::model::ModelBehaviour;
 use gatepier::lab::store::StoreFaults;
 use gatepier::store::etcd::EtcdStore;
 use gatepier::store::{Condition, Store as _};
@@ -96,32 +96,42 @@
 async fn measure_router_speed() {
     let bench = Bench::start(one_hall_plan()).await;
     let (service, model) = (
-        bench.direct("ikeja-reader-1"),
-        bench.direct("ikeja-model-1"),
+        bench.stand_in_address("ikeja-reader-1"),
+        bench.stand_in_address("ikeja-model-1"),
     );
     // Neither path goes through the proxy: the upstream list has the stand-ins' own addresses.
     bench
-        .list_direct("ikeja-reader-1", "ikeja-model-1", "ikeja")
+        .list_without_proxy("ikeja-reader-1", "ikeja-model-1", "ikeja")
         .await;
-    let without_delay = Behaviour {
+    let without_delay = ModelBehaviour {
         first_token_ms: 0,
         token_ms: 0,
-        ..Behaviour::default()
+        ..ModelBehaviour::default()
     };
-    bench.models[0].stand_in.set("small/s1", without_delay);
+    bench.models[0]
+        .stand_in
+        .set_behaviour("small/s1", without_delay);
     let read = load_plan(service, "/reader-api/manifest", None, 2000.0, 5);
     compare_direct_and_routed("plain reads, 2,000/s", &bench, service, read).await;
     let path = "/v1/chat/completions";
-    let whole = load_plan(model, path, Some(question("small/s1")), 500.0, 5);
+    let whole = load_plan(model, path, Some(completion_body("small/s1")), 500.0, 5);
     compare_direct_and_routed("whole responses, 500/s", &bench, model, whole).await;
-    let with_delay = Behaviour {
+    let with_delay = ModelBehaviour {
         first_token_ms: 20,
         token_ms: 20,
         tokens: 50,
-        ..Behaviour::default()
+        ..ModelBehaviour::default()
     };
-    bench.models[0].stand_in.set("small/s1", with_delay);
-    let streamed = load_plan(model, path, Some(streamed_question("small/s1")), 100.0, 5);
+    bench.models[0]
+        .stand_in
+        .set_behaviour("small/s1", with_delay);
+    let streamed = load_plan(
+        model,
+        path,
+        Some(streaming_completion_body("small/s1")),
+        100.0,
+        5,
+    );
     compare_direct_and_routed("streams of 50 tokens, 100/s", &bench, model, streamed).await;
     let mut high_rate = load_plan(
         bench.boxes["ikeja-1"].files.router,
@@ -139,12 +149,14 @@
 
 async fn measure_router_memory() {
     let mut bench = Bench::start(one_hall_plan()).await;
-    let long_stream = Behaviour {
+    let long_stream = ModelBehaviour {
         tokens: 600,
         token_ms: 50,
-        ..Behaviour::default()
+        ..ModelBehaviour::default()
     };
-    bench.models[0].stand_in.set("small/s1", long_stream);
+    bench.models[0]
+        .stand_in
+        .set_behaviour("small/s1", long_stream);
     let streams = if is_full_run() { 2000 } else { 20 };
     let before_kb = bench.router("ikeja-1").resident_kilobytes();
     let mut open_streams = Vec::new();
@@ -152,7 +164,7 @@
         let request = bench.request("ikeja-1", "comics", "POST", "/v1/chat/completions");
         open_streams.push(
             request
-                .send_json(&streamed_question("small/s1"))
+                .send_json(&streaming_completion_body("small/s1"))
                 .await
                 .unwrap(),
         );
@@ -238,7 +250,7 @@
     const CONCURRENT_CLAIMS: usize = 16;
     let bench = Bench::start(one_hall_plan()).await;
     bench
-        .list_direct("ikeja-reader-1", "ikeja-model-1", "ikeja")
+        .list_without_proxy("ikeja-reader-1", "ikeja-model-1", "ikeja")
         .await;
     let count = if is_full_run() { 4000 } else { 64 };
     let slow_store = StoreFaults {
@@ -255,7 +267,7 @@
             },
         ),
     ] {
-        bench.set_store(faults);
+        bench.set_store_faults(faults);
         println!("--- {label}");
         let store = EtcdStore::new(bench.store_address());
         measure_claims(
@@ -291,11 +303,11 @@
             &format!("{label}: owner and witness"),
             count,
             CONCURRENT_CLAIMS,
-            async |number| bench.claim_by(&agent, &format!("{label}-{number}")).await,
+            async |number| bench.claim_key(&agent, &format!("{label}-{number}")).await,
         )
         .await;
     }
-    bench.set_store(slow_store);
+    bench.set_store_faults(slow_store);
     let concurrent_requests = CONCURRENT_CLAIMS / 4;
     measure_claims(
         "bookmarks through the router, claimed",
--- a/tests/replacing_soak.rs
+++ b/tests/replacing_soak.rs
@@ -6,9 +6,9 @@
 
 mod common;
 
-use common::{Bench, BenchPlan, KeptConnection, Process, Reply, run};
+use common::{Bench, BenchPlan, PersistentConnection, Process, RequestOutcome, run};
 use futures::future::join_all;
-use gatepier::lab::model::Behaviour;
+use gatepier::lab::model::ModelBehaviour;
 use googletest::prelude::*;
 use rand::rngs::StdRng;
 use rand::{Rng as _, SeedableRng as _};
@@ -66,14 +66,14 @@
 #[derive(Debug, Default)]
 struct CallerResult {
     served: usize,
-    not_served: Vec<(CallerPlan, Reply)>,
+    not_served: Vec<(CallerPlan, RequestOutcome)>,
     longest_connect_time: Duration,
 }
 
 impl CallerResult {
-    async fn connect(&mut self, router: SocketAddr) -> KeptConnection {
+    async fn connect(&mut self, router: SocketAddr) -> PersistentConnection {
         let started = Instant::now();
-        let connection = KeptConnection::open(router).await;
+        let connection = PersistentConnection::open(router).await;
         self.longest_connect_time = self.longest_connect_time.max(started.elapsed());
         connection
     }
@@ -93,12 +93,18 @@
             }
             RequestKind::Streams => connection.stream().await,
         };
-        let must_reconnect =
-            !plan.reuses_connection || !matches!(reply, Reply::Answered { closes: false, .. });
+        let must_reconnect = !plan.reuses_connection
+            || !matches!(
+                reply,
+                RequestOutcome::Answered {
+                    closes_connection: false,
+                    ..
+                }
+            );
         match reply.is_served() {
             true => result.served += 1,
             // The connection had been closed before: the last answer carried `Connection: close`.
-            false if reply == Reply::Unsent => {}
+            false if reply == RequestOutcome::NotSent => {}
             false => result.not_served.push((plan, reply)),
         }
         let pause_ms = rng.random_range(0..=plan.max_pause_ms);
@@ -134,7 +140,7 @@
         routers.push(stopped);
         bench
             .wait_for("routers have drained", async || {
-                routers.retain_mut(|router| router.ended().is_none());
+                routers.retain_mut(|router| router.exit_success().is_none());
                 routers.len() < MAX_DRAINING_ROUTERS
             })
             .await;
@@ -157,7 +163,7 @@
         let pause_ms = rng.random_range(500..2500);
         actix_rt::time::sleep(Duration::from_millis(pause_ms)).await;
         agent.signal(libc::SIGTERM);
-        let has_exited = async || agent.ended().is_some();
+        let has_exited = async || agent.exit_success().is_some();
         bench.wait_for("the agent has exited", has_exited).await;
         agent = bench.spawn_agent("ikeja-1");
         replaced += 1;
@@ -181,13 +187,13 @@
         ..BenchPlan::default()
     };
     let mut bench = Bench::start(plan).await;
-    let steady = Behaviour {
+    let steady = ModelBehaviour {
         tokens: rng.random_range(2..40),
         token_ms: 20,
-        ..Behaviour::default()
+        ..ModelBehaviour::default()
     };
     let models = bench.models.iter();
-    models.for_each(|model| model.stand_in.set("small/s1", steady));
+    models.for_each(|model| model.stand_in.set_behaviour("small/s1", steady));
     let first = bench.boxes.get_mut("ikeja-1").unwrap().router.take();
     let agent = match processes {
         ReplacedProcesses::Routers => None,
@@ -224,7 +230,7 @@
     if let Some((_agent, replaced)) = agents {
         println!("seed {seed}: {replaced} agents replaced");
         // While a box has no agent, requests that may not be repeated are refused.
-        not_served.retain(|(_, reply)| !reply.is_known());
+        not_served.retain(|(_, reply)| !reply.is_outcome_known());
     }
     expect_that!(not_served, is_empty(), "seed {seed}");
     expect_that!(longest, some(lt(MAX_CONNECT_TIME)), "seed {seed}");
