--- a/src/gateway/admit/serve.rs
+++ b/src/gateway/admit/serve.rs
@@ -1,21 +1,21 @@
-//! From a caller's request to the answer that it gets.
+//! Serves callers' requests: admission, the attempts at upstreams, and the response.
 
-use super::job::{Job, leaves_choice};
 use super::prompt::Prompt;
+use super::request::{AdmittedRequest, lets_router_choose};
 use super::routes::{Caller, Route, RouteTable};
 use crate::clock::Now;
-use crate::fingerprint::{Fingerprint, Identity};
-use crate::gateway::answer::plain::{self, WholeAnswer};
-use crate::gateway::answer::refusal::{self, Ran, Why};
+use crate::fingerprint::{Fingerprint, RequestIdentity};
+use crate::gateway::answer::buffered::{self, BufferedResponse};
+use crate::gateway::answer::refusal::{self, Execution, RefusalReason};
 use crate::gateway::answer::relay::Relay;
-use crate::gateway::answer::stream::{self, Begun};
+use crate::gateway::answer::stream::{self, ResponseStart};
 use crate::gateway::attempt::connect::http1_types;
 use crate::gateway::attempt::tries::TryHistory;
 use crate::gateway::control::state::ConfigFreshness;
 use crate::gateway::place::choose::stable_hash;
-use crate::gateway::settings::UnprovedKeys;
-use crate::gateway::{FirstWait, Gateway};
-use crate::hop_by_hop::HopByHop;
+use crate::gateway::settings::UnverifiedKeyPolicy;
+use crate::gateway::{Gateway, StartupWait};
+use crate::hop_by_hop::HopByHopHeaders;
 use actix_http::body::{BodyStream, BoxBody, MessageBody as _};
 use actix_http::{HttpMessage as _, Request, Response, StatusCode};
 use bytes::{Bytes, BytesMut};
@@ -24,41 +24,43 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The router reads bodies whole before it sends them, so it never asks to be expected.
+/// The `expect` header, which is not forwarded: the router has the whole body before it sends it,
+/// so it never needs `100 Continue` from an upstream.
 const EXPECT: &str = "expect";
 
-/// Serves one request and says so in the log.
+/// Serves one request and logs the outcome.
 pub async fn serve(gw: Rc<Gateway>, mut req: Request) -> Response<BoxBody> {
     let received = Now::read();
-    let _counted = gw.count_in();
+    let _in_flight = gw.track_request();
     let request_id = header(&req, &gw.headers.request_id)
         .unwrap_or_default()
         .to_owned();
     let mut response = match admit(&gw, &mut req, &request_id, received).await {
-        Ok(job) => serve_job(&gw, Rc::new(job)).await,
-        Err(why) => refuse(&gw, &request_id, None, why, Ran::Nowhere, received),
+        Ok(request) => serve_admitted(&gw, Rc::new(request)).await,
+        Err(reason) => refuse(&gw, &request_id, None, reason, Execution::Never, received),
     };
-    gw.callers.ask_to_leave(&mut response);
+    gw.caller_connections
+        .add_close_header_if_stopping(&mut response);
     response
 }
 
-/// Checks a request and reads it whole.
+/// Decides whether a request is admitted, and reads its body.
 async fn admit(
     gw: &Gateway,
     req: &mut Request,
     request_id: &str,
     received: Now,
-) -> Result<Job, Why> {
-    let asked = header(req, &gw.headers.deadline).and_then(|text| text.parse().ok());
-    let caller_waits = asked.map(Duration::from_millis);
-    let waiting = FirstWait {
+) -> Result<AdmittedRequest, RefusalReason> {
+    let caller_timeout_ms = header(req, &gw.headers.deadline).and_then(|text| text.parse().ok());
+    let caller_timeout = caller_timeout_ms.map(Duration::from_millis);
+    let startup_wait = StartupWait {
         received: received.monotonic,
-        caller_waits,
+        caller_timeout,
     };
-    let routes = await_routes(gw, waiting).await?;
+    let routes = wait_for_routes(gw, startup_wait).await?;
     check_caller(gw, req, &routes, received)?;
     let body = read_body(req, &routes, received).await?;
-    // Reading may have taken long: what is in force now decides.
+    // Reading the body may have taken long, so the configuration that is in force now decides.
     let routes = gw.knowledge.borrow().routes().cloned().unwrap_or(routes);
     let now = Now::read();
     let route = check_caller(gw, req, &routes, now)?.clone();
@@ -67,29 +69,29 @@
         Caller::Anonymous | Caller::Unknown => None,
     };
     let model = header(req, &gw.headers.model);
-    let chooses_model = leaves_choice(model);
-    if !route.models.is_empty() && model.is_some() && !chooses_model {
-        return Err(Why::ModelNamed);
+    let router_chooses_model = lets_router_choose(model);
+    if !route.models.is_empty() && model.is_some() && !router_chooses_model {
+        return Err(RefusalReason::ModelNamed);
     }
-    if gw.is_too_late_for(route.kind, now) {
-        return Err(Why::Stopping);
+    if gw.is_too_late_to_admit(route.kind, now) {
+        return Err(RefusalReason::Stopping);
     }
-    let wait = caller_waits.unwrap_or(route.timeout);
-    let prompt = Prompt::read(header(req, &gw.headers.prompt_parts));
-    let session = header(req, &gw.headers.session).unwrap_or(request_id);
+    let timeout = caller_timeout.unwrap_or(route.timeout);
+    let prompt = Prompt::parse(header(req, &gw.headers.prompt_parts));
+    let session_id = header(req, &gw.headers.session).unwrap_or(request_id);
     let service = route
         .service_for(stable_hash(request_id))
-        .ok_or(Why::NoRoute)?
+        .ok_or(RefusalReason::NoRoute)?
         .to_owned();
     let target = target_of(req);
-    let fingerprint = Fingerprint::of(Identity {
+    let fingerprint = Fingerprint::of(RequestIdentity {
         caller: organisation.as_ref().map(|found| found.name.as_str()),
         method: req.method().as_str(),
         host: host(req),
         target: &target,
         body: &body,
     });
-    Ok(Job {
+    Ok(AdmittedRequest {
         request_id: request_id.to_owned(),
         fingerprint,
         config_version: routes.version,
@@ -97,68 +99,75 @@
         organisation,
         method: method_of(req),
         target,
-        headers: passed_headers(gw, req),
+        headers: forwarded_headers(gw, req),
         body,
         received: received.monotonic,
-        deadline: received.monotonic + wait.min(route.timeout),
+        deadline: received.monotonic + timeout.min(route.timeout),
         prompt,
-        session: session.to_owned(),
-        chooses_model,
+        session_id: session_id.to_owned(),
+        router_chooses_model,
         route,
         tries: TryHistory::default(),
         trial: Default::default(),
-        timed: Default::default(),
+        timing: Default::default(),
     })
 }
 
-/// Returns the routes in force, which a box that has just started is about to learn together
-/// with the proof that they are the newest.
-async fn await_routes(gw: &Gateway, waiting: FirstWait) -> Result<Arc<RouteTable>, Why> {
-    let wait = gw.left_of_first_read(waiting, Now::read());
-    // Whether it was learned or the wait is over, what is known then tells.
-    let _ = tokio::time::timeout(wait, gw.await_first_knowledge()).await;
+/// Returns the routing table in force.
+///
+/// A box that has just started waits for its first table, and for the proof that it is the newest.
+async fn wait_for_routes(
+    gw: &Gateway,
+    startup_wait: StartupWait,
+) -> Result<Arc<RouteTable>, RefusalReason> {
+    let timeout = gw.remaining_startup_wait(startup_wait, Now::read());
+    // A timeout is no failure by itself: a table that is known without the proof will do.
+    let _ = tokio::time::timeout(timeout, gw.wait_for_first_config()).await;
     let knowledge = gw.knowledge.borrow();
-    knowledge.routes().cloned().ok_or(Why::NoConfiguration)
+    knowledge
+        .routes()
+        .cloned()
+        .ok_or(RefusalReason::NoConfiguration)
 }
 
-/// Checks the route, the key and how fresh the knowledge of both is.
+/// Checks a request's route and key, and that the knowledge of both is fresh enough.
 fn check_caller<'a>(
     gw: &Gateway,
     req: &Request,
     routes: &'a RouteTable,
     now: Now,
-) -> Result<&'a Arc<Route>, Why> {
-    let found = find_route(req, routes);
-    let caller = found.map(|route| routes.caller(route, header(req, &gw.headers.key)));
-    let unproved = gw.settings().bounds.unproved_keys;
-    check(caller, gw.proof(now), unproved)?;
-    found.ok_or(Why::NoRoute)
+) -> Result<&'a Arc<Route>, RefusalReason> {
+    let route = find_route(req, routes);
+    let caller = route.map(|route| routes.caller(route, header(req, &gw.headers.key)));
+    let policy = gw.settings().bounds.unverified_key_policy;
+    check(caller, gw.proof(now), policy)?;
+    route.ok_or(RefusalReason::NoRoute)
 }
 
-/// Decides by a request's route and key whether it is served; no caller means that it has
-/// no route.
+/// Decides by its route and key whether a request is served; `caller` is `None` if no route
+/// matches.
 ///
-/// That a route or a key does not exist is only said while what is known is proved to be
-/// the newest: the operators may have added it since. A box that has known for too long
-/// that there is something newer serves nothing by what it has.
+/// A request is only told that its route or key does not exist while the knowledge is proved to be
+/// the newest, since operators may have added it meanwhile. A box that has known for too long that
+/// something newer exists serves nothing by what it has.
 pub fn check(
     caller: Option<Caller<'_>>,
     proof: ConfigFreshness,
-    unproved: UnprovedKeys,
-) -> Result<(), Why> {
+    policy: UnverifiedKeyPolicy,
+) -> Result<(), RefusalReason> {
     if proof == ConfigFreshness::Outdated {
-        return Err(Why::Stale);
+        return Err(RefusalReason::Stale);
     }
     match (caller, proof) {
         (Some(Caller::Anonymous), _) => Ok(()),
         (Some(Caller::Known(_)), ConfigFreshness::Current | ConfigFreshness::KeysValid) => Ok(()),
-        (Some(Caller::Known(_)), _) => match unproved {
-            UnprovedKeys::ServeKnown => Ok(()),
-            UnprovedKeys::Refuse => Err(Why::Stale),
+        (Some(Caller::Known(_)), _) => match policy {
+            UnverifiedKeyPolicy::ServeKnown => Ok(()),
+            UnverifiedKeyPolicy::Refuse => Err(RefusalReason::Stale),
         },
-        (None, ConfigFreshness::Current) => Err(Why::NoRoute),
-        (Some(Caller::Unknown), ConfigFreshness::Current) => Err(Why::UnknownKey),
-        (None | Some(Caller::Unknown), _) => Err(Why::Stale),
+        (None, ConfigFreshness::Current) => Err(RefusalReason::NoRoute),
+        (Some(Caller::Unknown), ConfigFreshness::Current) => Err(RefusalReason::UnknownKey),
+        (None | Some(Caller::Unknown), _) => Err(RefusalReason::Stale),
     }
 }
 
@@ -171,54 +180,61 @@
     host.and_then(|host| host.to_str().ok()).unwrap_or_default()
 }
 
-async fn read_body(req: &mut Request, routes: &RouteTable, received: Now) -> Result<Bytes, Why> {
-    let limit = routes.limits.body_bytes;
+async fn read_body(
+    req: &mut Request,
+    routes: &RouteTable,
+    received: Now,
+) -> Result<Bytes, RefusalReason> {
+    let limit = routes.limits.max_body_bytes;
     let mut payload = req.take_payload();
     let mut body = BytesMut::new();
-    let patience = routes.limits.idle;
-    while let Some(piece) = tokio::time::timeout(patience, payload.next())
+    let idle_timeout = routes.limits.idle_timeout;
+    while let Some(chunk) = tokio::time::timeout(idle_timeout, payload.next())
         .await
-        .map_err(|_elapsed| Why::NoBody)?
+        .map_err(|_elapsed| RefusalReason::NoBody)?
     {
-        let piece = piece.map_err(|err| {
-            log::debug!(received_ms = received.monotonic.as_millis() as u64; "no whole body: {err}");
-            Why::NoBody
+        let chunk = chunk.map_err(|err| {
+            log::debug!(received_ms = received.monotonic.as_millis() as u64; "the body is incomplete: {err}");
+            RefusalReason::NoBody
         })?;
-        if body.len() + piece.len() > limit {
-            return Err(Why::TooLarge);
+        if body.len() + chunk.len() > limit {
+            return Err(RefusalReason::TooLarge);
         }
-        body.extend_from_slice(&piece);
+        body.extend_from_slice(&chunk);
     }
     Ok(body.freeze())
 }
 
-async fn serve_job(gw: &Rc<Gateway>, job: Rc<Job>) -> Response<BoxBody> {
-    let result = match job.route.kind.stream_gap() {
-        Some(_) => stream::begin(gw, &job).await,
-        None => plain::serve(gw, &job).await.map(Begun::Failed),
+async fn serve_admitted(gw: &Rc<Gateway>, request: Rc<AdmittedRequest>) -> Response<BoxBody> {
+    let result = match request.route.kind.stream_gap() {
+        Some(_) => stream::start(gw, &request).await,
+        None => buffered::serve(gw, &request)
+            .await
+            .map(ResponseStart::Buffered),
     };
     match result {
-        Ok(Begun::Stream { headers, relay }) => {
-            gw.telemetry.passed_on(&job, 200, Now::read());
+        Ok(ResponseStart::Stream { headers, relay }) => {
+            gw.telemetry.record_answer(&request, 200, Now::read());
             stream_response(gw, &headers, relay)
         }
-        Ok(Begun::Failed(whole)) => {
-            gw.telemetry.passed_on(&job, whole.status, Now::read());
-            whole_response(whole)
+        Ok(ResponseStart::Buffered(buffered)) => {
+            gw.telemetry
+                .record_answer(&request, buffered.status, Now::read());
+            buffered_response(buffered)
         }
-        Err(why) => {
-            job.give_up_trial(gw, Now::read());
+        Err(reason) => {
+            request.release_trial(gw, Now::read());
             let received = Now {
-                monotonic: job.received,
+                monotonic: request.received,
                 ..Now::read()
             };
-            let fingerprint = Some(job.fingerprint);
+            let fingerprint = Some(request.fingerprint);
             refuse(
                 gw,
-                &job.request_id,
+                &request.request_id,
                 fingerprint,
-                why,
-                job.tries.ran(),
+                reason,
+                request.tries.ran(),
                 received,
             )
         }
@@ -229,21 +245,21 @@
     gw: &Gateway,
     request: &str,
     fingerprint: Option<Fingerprint>,
-    why: Why,
-    ran: Ran,
+    reason: RefusalReason,
+    execution: Execution,
     received: Now,
 ) -> Response<BoxBody> {
     let now = Now::read();
     let took = now.monotonic.saturating_sub(received.monotonic);
     let age = gw.knowledge.borrow().age(now);
     gw.telemetry
-        .refused(request, fingerprint, why, ran, age, took);
-    refusal::answer(why, ran)
+        .record_refusal(request, fingerprint, reason, execution, age, took);
+    refusal::response(reason, execution)
 }
 
-fn whole_response(whole: WholeAnswer) -> Response<BoxBody> {
-    let mut response = head(whole.status, &whole.headers);
-    response = response.set_body(BoxBody::new(whole.body));
+fn buffered_response(buffered: BufferedResponse) -> Response<BoxBody> {
+    let mut response = head(buffered.status, &buffered.headers);
+    response = response.set_body(BoxBody::new(buffered.body));
     response
 }
 
@@ -252,11 +268,11 @@
     headers: &http1_types::HeaderMap,
     relay: Box<Relay>,
 ) -> Response<BoxBody> {
-    let counted = gw.count_in();
-    let events = futures::stream::unfold(Some((relay, counted)), |state| async move {
-        let (mut relay, counted) = state?;
+    let in_flight = gw.track_request();
+    let events = futures::stream::unfold(Some((relay, in_flight)), |state| async move {
+        let (mut relay, in_flight) = state?;
         match relay.next().await? {
-            Ok(bytes) => Some((Ok(bytes), Some((relay, counted)))),
+            Ok(bytes) => Some((Ok(bytes), Some((relay, in_flight)))),
             Err(err) => Some((Err(err), None)),
         }
     });
@@ -264,12 +280,14 @@
     head(StatusCode::OK.as_u16(), headers).set_body(body)
 }
 
-/// Makes the head of an answer as the upstream gave it.
+/// Builds the head of a response from the upstream's, without hop-by-hop headers.
 fn head(status: u16, headers: &http1_types::HeaderMap) -> Response<BoxBody> {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = Response::build(status);
     let connection = headers.get_all(hyper::header::CONNECTION);
-    let hop_by_hop = HopByHop::read(connection.iter().filter_map(|value| value.to_str().ok()));
+    let hop_by_hop = HopByHopHeaders::from_connection_values(
+        connection.iter().filter_map(|value| value.to_str().ok()),
+    );
     for (name, value) in headers {
         if hop_by_hop.contains(name.as_str()) {
             continue;
@@ -286,7 +304,7 @@
 }
 
 fn method_of(req: &Request) -> http1_types::Method {
-    // The server has checked the method already; this only changes the type.
+    // The server has already validated the method; this only converts its type.
     http1_types::Method::from_bytes(req.method().as_str().as_bytes()).unwrap_or_default()
 }
 
@@ -296,12 +314,13 @@
         .map_or_else(|| req.path().to_owned(), ToString::to_string)
 }
 
-/// Returns the caller's headers that upstreams get.
-fn passed_headers(gw: &Gateway, req: &Request) -> http1_types::HeaderMap {
+/// Returns the caller's headers that are forwarded to upstreams.
+fn forwarded_headers(gw: &Gateway, req: &Request) -> http1_types::HeaderMap {
     let names = &gw.headers;
-    let mut passed = http1_types::HeaderMap::new();
+    let mut forwarded = http1_types::HeaderMap::new();
     let connection = req.headers().get_all("connection");
-    let hop_by_hop = HopByHop::read(connection.filter_map(|value| value.to_str().ok()));
+    let hop_by_hop =
+        HopByHopHeaders::from_connection_values(connection.filter_map(|value| value.to_str().ok()));
     for (name, value) in req.headers() {
         let name = name.as_str();
         let is_reserved = names.reserved.iter().any(|reserved| reserved == name);
@@ -311,8 +330,8 @@
         let name = hyper::header::HeaderName::from_bytes(name.as_bytes());
         let value = hyper::header::HeaderValue::from_bytes(value.as_bytes());
         if let (Ok(name), Ok(value)) = (name, value) {
-            passed.append(name, value);
+            forwarded.append(name, value);
         }
     }
-    passed
+    forwarded
 }
--- a/src/gateway/answer/stream.rs
+++ b/src/gateway/answer/stream.rs
@@ -1,15 +1,15 @@
-//! Requests whose answer is a stream of events: the first event decides.
+//! Requests whose response is a stream of events, up to the first event.
 //!
-//! Until the caller has some of an answer, the answer may be dropped and another upstream
-//! or a larger model asked. From then on [`super::relay`] carries the stream.
+//! Until the caller has received part of a response, the response may be dropped and another
+//! upstream or a larger model tried. From then on, [`super::relay`] relays the stream.
 
+use super::buffered::{BufferedResponse, read_response, refusal_reason};
 use super::events::EventSplitter;
-use super::plain::{WholeAnswer, read_whole, why};
-use super::refusal::Why;
+use super::refusal::RefusalReason;
 use super::relay::Relay;
 use crate::clock::Now;
 use crate::gateway::Gateway;
-use crate::gateway::admit::job::{Job, NoTry, TryPlan};
+use crate::gateway::admit::request::{AdmittedRequest, AttemptPlan, NoAttempt};
 use crate::gateway::attempt::connect::http1_types;
 use crate::gateway::attempt::exchange::{Answer, BodyChunk, TryOutcome};
 use crate::gateway::attempt::response_timeout::{ResponseTimeout, with_response_timeout};
@@ -18,126 +18,149 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The largest failure that is kept in memory to be passed on.
+/// The size limit of a buffered error response.
 const FAILURE_BYTES_LIMIT: usize = 1024 * 1024;
-/// The part of the objective, in hundredths, after which an upstream from which nothing
-/// came to any request is asked by a connection whether it is alive.
-const SILENT_HUNDREDTHS: u32 = 20;
-/// The part after which another upstream is asked though the first is alive.
-const ALIVE_HUNDREDTHS: u32 = 90;
-/// How many times the expected time an alive upstream may take, where that is longer: reading
-/// a long prompt anew elsewhere takes longer than waiting for it.
-const EXPECTED_TIMES: u32 = 3;
-/// How long a request waits before the upstreams that refused it are asked again.
-const RETRY_PAUSE: Duration = Duration::from_millis(40);
+/// How long an upstream may be silent to all requests before a connection probes whether it is
+/// alive, in percent of the latency objective.
+const SILENT_TIMEOUT_PERCENT: u32 = 20;
+/// How long to wait before another upstream is tried although the first is alive, in percent of the
+/// latency objective.
+const ALIVE_TIMEOUT_PERCENT: u32 = 90;
+/// An alive upstream may take this multiple of the expected time, if that is longer: reading a long
+/// prompt again elsewhere takes longer than waiting for it.
+const EXPECTED_TIME_FACTOR: u32 = 3;
+/// The delay before the upstreams that rejected a request are tried again.
+const RETRY_DELAY: Duration = Duration::from_millis(40);
 
-/// What a stream's request led to.
+/// A response that is ready to be sent to the caller.
 #[derive(Debug)]
-pub enum Begun {
-    /// The stream runs; the first events are in the relay.
+pub enum ResponseStart {
+    /// A stream has begun; the relay holds its first events.
     Stream {
-        /// The headers of the answer.
+        /// The headers of the response.
         headers: http1_types::HeaderMap,
-        /// What carries the rest.
+        /// Relays the events.
         relay: Box<Relay>,
     },
-    /// An upstream failed with an answer of its own.
-    Failed(WholeAnswer),
+    /// A complete response; for stream requests, an upstream's error response.
+    Buffered(BufferedResponse),
 }
 
-/// How the first event came, or did not.
-enum First {
-    Came(Box<Relay>),
-    NotYet,
+/// Whether the first event was received.
+enum FirstEvent {
+    Received(Box<Relay>),
+    Missing,
 }
 
-/// Serves a request until the first event is there.
-pub async fn begin(gw: &Rc<Gateway>, job: &Rc<Job>) -> Result<Begun, Why> {
-    let models = if job.chooses_model {
-        job.route.models.as_slice()
+/// Serves a request until the first event has been received, or the end of an empty stream.
+pub async fn start(
+    gw: &Rc<Gateway>,
+    request: &Rc<AdmittedRequest>,
+) -> Result<ResponseStart, RefusalReason> {
+    let models = if request.router_chooses_model {
+        request.route.models.as_slice()
     } else {
         &[]
     };
-    // The place in the route's list of models; the smallest goes first.
-    let mut place = 0;
+    // The index into the route's list of models, which begins with the smallest.
+    let mut model_index = 0;
     let mut repeat = RetryReason::Failure;
     let mut failure = None;
     loop {
-        let model = models.get(place).map(String::as_str);
-        let plan = TryPlan {
+        let model = models.get(model_index).map(String::as_str);
+        let plan = AttemptPlan {
             model,
             resume_after: None,
-            head: patience(gw, job, model, Now::read()),
-            repeat,
+            head_wait: head_wait(gw, request, model, Now::read()),
+            retry_kind: repeat,
         };
         repeat = RetryReason::Failure;
-        match job.try_once(gw, plan).await {
+        match request.run_attempt(gw, plan).await {
             Ok(TryOutcome::Answered(answer)) if is_success(&answer) => {
-                if let Some(larger) = larger_model(gw, job, models, place, &answer) {
-                    place = larger;
+                if let Some(larger) = escalation_target(gw, request, models, model_index, &answer) {
+                    model_index = larger;
                     repeat = RetryReason::Escalation;
-                    job.tries.allow_all_upstreams();
+                    request.tries.allow_all_upstreams();
                     continue;
                 }
                 let headers = answer.headers.clone();
-                let model = models.get(place).cloned();
-                if let First::Came(relay) = first_event(gw, job, *answer, model).await {
-                    return Ok(Begun::Stream { headers, relay });
+                let model = models.get(model_index).cloned();
+                if let FirstEvent::Received(relay) =
+                    receive_first_event(gw, request, *answer, model).await
+                {
+                    return Ok(ResponseStart::Stream { headers, relay });
                 }
             }
-            Ok(TryOutcome::Answered(answer)) => failure = take_failure(gw, job, *answer).await,
+            Ok(TryOutcome::Answered(answer)) => failure = read_failure(gw, request, *answer).await,
             Ok(TryOutcome::NotRun(_) | TryOutcome::Unknown(_)) => {}
-            Err(NoTry::NoUpstream) if job.should_wait(gw, RETRY_PAUSE, Now::read()) => {
-                tokio::time::sleep(RETRY_PAUSE).await;
-                job.tries.allow_all_upstreams();
+            Err(NoAttempt::NoUpstream)
+                if request.should_wait_for_upstream(gw, RETRY_DELAY, Now::read()) =>
+            {
+                tokio::time::sleep(RETRY_DELAY).await;
+                request.tries.allow_all_upstreams();
                 continue;
             }
-            Err(NoTry::Paused(pause)) if job.can_wait(pause.remaining(), Now::read()) => {
+            Err(NoAttempt::Paused(pause)) if request.can_wait(pause.remaining(), Now::read()) => {
                 tokio::time::sleep(pause.remaining()).await;
-                job.tries.allow_all_upstreams();
+                request.tries.allow_all_upstreams();
                 continue;
             }
-            Err(no_try) => return failure.map(Begun::Failed).ok_or_else(|| why(no_try, job)),
+            Err(no_attempt) => {
+                return failure
+                    .map(ResponseStart::Buffered)
+                    .ok_or_else(|| refusal_reason(no_attempt, request));
+            }
         }
-        if !job.may_run_again() {
+        if !request.may_run_again() {
             return failure
-                .map(Begun::Failed)
-                .ok_or_else(|| job.tries.exhausted_reason());
+                .map(ResponseStart::Buffered)
+                .ok_or_else(|| request.tries.exhausted_reason());
         }
     }
 }
 
-/// Returns the place of the larger model that is to be asked in an answer's place, if any.
-fn larger_model(
+/// Returns the index of the larger model that should answer instead, if any.
+fn escalation_target(
     gw: &Gateway,
-    job: &Job,
+    request: &AdmittedRequest,
     models: &[String],
-    place: usize,
+    model_index: usize,
     answer: &Answer,
 ) -> Option<usize> {
     let confidence = confidence(gw, answer);
     let now = Now::read();
-    let expected = job.expected_of_all(gw, models, now);
-    let left = job.left_of_objective(now);
+    let expected = request.expected_first_events(gw, models, now);
+    let left = request.objective_left(now);
     let begun = StartedAnswer {
-        model_index: place,
+        model_index,
         confidence,
-        rank_fraction: gw.rank_part(&job.route),
+        rank_fraction: gw.relative_rank(&request.route),
     };
     match judge_answer(begun, &expected, left) {
         EscalationDecision::Accept => None,
         EscalationDecision::AcceptUnsure => {
-            gw.telemetry
-                .unsure_passed_on(job, place, confidence, "no larger model in time", left);
+            gw.telemetry.record_unsure_answer(
+                request,
+                model_index,
+                confidence,
+                "no larger model would meet the objective",
+                left,
+            );
             None
         }
-        EscalationDecision::Escalate(_) if !may_escalate(gw, job, now) => {
-            gw.telemetry
-                .unsure_passed_on(job, place, confidence, "no repeat left", left);
+        EscalationDecision::Escalate(_) if !may_escalate(gw, request, now) => {
+            gw.telemetry.record_unsure_answer(
+                request,
+                model_index,
+                confidence,
+                "no retry left",
+                left,
+            );
             None
         }
         EscalationDecision::Escalate(larger) => {
-            gw.telemetry.escalated(job, place, larger, confidence);
+            gw.telemetry
+                .record_escalation(request, model_index, larger, confidence);
             Some(larger)
         }
     }
@@ -152,48 +175,58 @@
     value.to_str().ok()?.trim().parse().ok()
 }
 
-/// Tells whether a larger model may be asked. A request on trial runs once: a second run would be
-/// one more upstream that it may crash.
-fn may_escalate(gw: &Gateway, job: &Job, now: Now) -> bool {
-    let has_room = gw.with_retries(&job.service, |window| {
+/// Returns whether a larger model may be tried. A request on trial runs only once: a second run
+/// could crash one more upstream.
+fn may_escalate(gw: &Gateway, request: &AdmittedRequest, now: Now) -> bool {
+    let has_room = gw.with_retry_window(&request.service, |window| {
         window.has_budget(RetryReason::Escalation, now)
     });
-    has_room && job.may_run_again() && !job.is_on_trial()
+    has_room && request.may_run_again() && !request.is_on_trial()
 }
 
-/// Returns how long to wait for the head of an answer.
-fn patience(gw: &Gateway, job: &Job, model: Option<&str>, now: Now) -> ResponseTimeout {
-    let can_ask_others = job.can_repeat(gw, now) && !job.has_last_run_left();
-    match job.route.kind.is_repeatable() && can_ask_others {
-        true => first_event_patience(gw, job, model, now),
+/// Returns how long to wait for the head of a response.
+fn head_wait(
+    gw: &Gateway,
+    request: &AdmittedRequest,
+    model: Option<&str>,
+    now: Now,
+) -> ResponseTimeout {
+    let can_ask_others = request.can_retry(gw, now) && !request.is_last_run();
+    match request.route.kind.is_repeatable() && can_ask_others {
+        true => first_event_wait(gw, request, model, now),
         false => ResponseTimeout::total_only(Duration::MAX),
     }
 }
 
-fn first_event_patience(gw: &Gateway, job: &Job, model: Option<&str>, now: Now) -> ResponseTimeout {
-    let expected = job.expected(gw, model, now).total * EXPECTED_TIMES;
-    let part = |hundredths: u32| job.route.objective * hundredths / 100;
+fn first_event_wait(
+    gw: &Gateway,
+    request: &AdmittedRequest,
+    model: Option<&str>,
+    now: Now,
+) -> ResponseTimeout {
+    let expected = request.expected_first_event(gw, model, now).total * EXPECTED_TIME_FACTOR;
+    let percent = |percent: u32| request.route.latency_objective * percent / 100;
     ResponseTimeout {
-        upstream_silent: part(SILENT_HUNDREDTHS),
-        request_stalled: part(ALIVE_HUNDREDTHS).max(expected),
+        upstream_silent: percent(SILENT_TIMEOUT_PERCENT),
+        request_stalled: percent(ALIVE_TIMEOUT_PERCENT).max(expected),
         total: Duration::MAX,
     }
 }
 
-/// Waits for the first whole event.
-async fn first_event(
+/// Waits for the first complete event.
+async fn receive_first_event(
     gw: &Rc<Gateway>,
-    job: &Rc<Job>,
+    request: &Rc<AdmittedRequest>,
     mut answer: Answer,
     model: Option<String>,
-) -> First {
+) -> FirstEvent {
     let mut splitter = EventSplitter::default();
     let now = Now::read();
-    let patience = match job.can_repeat(gw, now) {
-        true => first_event_patience(gw, job, model.as_deref(), now),
+    let wait = match request.can_retry(gw, now) {
+        true => first_event_wait(gw, request, model.as_deref(), now),
         false => ResponseTimeout::total_only(Duration::MAX),
     };
-    let patience = patience.capped_at(job.left(now));
+    let wait = wait.capped_at(request.time_left(now));
     let upstream = answer.upstream().clone();
     let read = async {
         loop {
@@ -201,7 +234,7 @@
                 BodyChunk::Bytes(bytes) => match splitter.push(&bytes) {
                     Ok(Some(events)) => return Ok(Some(events)),
                     Ok(None) => {}
-                    Err(_too_large) => return Err("an event has no end".to_owned()),
+                    Err(_too_large) => return Err("an event exceeds the size limit".to_owned()),
                 },
                 BodyChunk::End if splitter.is_inside_event() => {
                     return Err("the stream ended inside an event".to_owned());
@@ -211,23 +244,28 @@
             }
         }
     };
-    let reason = match with_response_timeout(&gw.connections, &upstream, patience, read).await {
+    let reason = match with_response_timeout(&gw.connections, &upstream, wait, read).await {
         Some(Ok(events)) => {
-            let relay = Relay::new(gw, job, answer, splitter, events, model);
-            return First::Came(Box::new(relay));
+            let relay = Relay::new(gw, request, answer, splitter, events, model);
+            return FirstEvent::Received(Box::new(relay));
         }
         Some(Err(reason)) => {
             upstream.record_failure(Now::read());
-            job.broke_off(gw, &upstream, Now::read());
+            request.record_broken_run(gw, &upstream, Now::read());
             reason
         }
-        None => "no event came in time".to_owned(),
+        None => "no event arrived in time".to_owned(),
     };
-    gw.telemetry.broke_off(job, answer.upstream(), &reason);
-    First::NotYet
+    gw.telemetry
+        .record_broken_answer(request, answer.upstream(), &reason);
+    FirstEvent::Missing
 }
 
-async fn take_failure(gw: &Gateway, job: &Job, mut answer: Answer) -> Option<WholeAnswer> {
+async fn read_failure(
+    gw: &Gateway,
+    request: &AdmittedRequest,
+    mut answer: Answer,
+) -> Option<BufferedResponse> {
     answer.upstream().record_failure(Now::read());
-    read_whole(gw, job, &mut answer, FAILURE_BYTES_LIMIT).await
+    read_response(gw, request, &mut answer, FAILURE_BYTES_LIMIT).await
 }
--- a/src/gateway/attempt/upstream.rs
+++ b/src/gateway/attempt/upstream.rs
@@ -5,9 +5,9 @@
 use crate::gateway::control::store::{ListedUpstream, UpstreamLife};
 use crate::gateway::place::choose::stable_hash;
 use crate::gateway::place::warm_up::{FleetView, WarmUp, WarmUpState};
+use crate::routing::backoff::RequestedBackoff;
 use crate::routing::placement::{LoadGuard, UpstreamLoad};
-use crate::routing::rest::AskedRest;
-use crate::routing::signs::Signs;
+use crate::routing::signals::ResponseSignals;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -54,7 +54,7 @@
     peer_load: Cell<PeerLoad>,
     last_data_at: Cell<Duration>,
     is_leaving: Cell<bool>,
-    retry_after: Cell<AskedRest>,
+    retry_after: Cell<RequestedBackoff>,
     warm_up: Cell<WarmUpState>,
     is_evacuated: Cell<bool>,
 }
@@ -191,7 +191,7 @@
 
     /// Counts a request as in flight until the guard is dropped.
     pub fn begin_request(&self) -> LoadGuard {
-        self.load.enter()
+        self.load.track_request()
     }
 
     /// Returns the number of this box's requests in flight at the upstream.
@@ -327,11 +327,11 @@
 
     /// Updates the state from the head of an answer. The announcement that the upstream is leaving
     /// is never taken back.
-    pub fn update_from_head(&self, signs: Signs, now: Now) {
-        if signs.leaves {
+    pub fn update_from_head(&self, signs: ResponseSignals, now: Now) {
+        if signs.is_leaving {
             self.is_leaving.set(true);
         }
-        if let Some(delay) = signs.rest {
+        if let Some(delay) = signs.requested_backoff {
             self.set_retry_after(delay, now);
         }
         if !signs.is_refusal {
@@ -347,26 +347,26 @@
     /// Records that the upstream state this box to send nothing for a time (`Retry-After`).
     pub fn set_retry_after(&self, delay: Duration, now: Now) {
         let mut state = self.retry_after.get();
-        state.ask(delay, now);
+        state.extend(delay, now);
         self.retry_after.set(state);
     }
 
     /// Records that the upstream accepted a request.
     pub fn record_accepted_request(&self, now: Now) {
         let mut state = self.retry_after.get();
-        state.took_request(now);
+        state.record_accepted(now);
         self.retry_after.set(state);
     }
 
     /// Returns whether a `Retry-After` time is running.
     pub fn is_in_retry_after(&self, now: Now) -> bool {
-        self.retry_after.get().goes_on(now)
+        self.retry_after.get().is_active(now)
     }
 
     /// Returns how long the upstream takes no further request of this box because of a
     /// `Retry-After`; `None` if it takes one now.
     pub fn retry_after_left(&self, now: Now) -> Option<Duration> {
-        self.retry_after.get().left(self.outstanding(), now)
+        self.retry_after.get().remaining(self.outstanding(), now)
     }
 
     /// Records that the upstream needs this long to warm up from now on.
--- a/src/gateway/control/store_sync.rs
+++ b/src/gateway/control/store_sync.rs
@@ -112,11 +112,13 @@
         let mut state = gw.knowledge.borrow_mut();
         for change in state.remove_lapsed_upstreams(now) {
             gw.telemetry
-                .learned(&change, "lapse", gw.mirror.borrow().revision());
+                .record_change(&change, "lapse", gw.mirror.borrow().revision());
         }
-        gw.telemetry.aged(state.age(now), state.lag(now));
+        gw.telemetry
+            .record_knowledge_age(state.age(now), state.lag(now));
         state.prune_leaving(now);
-        gw.telemetry.faulty_upstreams(state.faulty_upstream_count());
+        gw.telemetry
+            .record_faulty_upstreams(state.faulty_upstream_count());
         drop(state);
         gw.connections.close_stale(now);
         gw.sessions.borrow_mut().remove_expired(now);
@@ -145,18 +147,18 @@
         if let Some(update) = store.decode(item) {
             let change = state.apply(update, now);
             if !(summarized && change.is_addition()) {
-                gw.telemetry.learned(&change, source, revision);
+                gw.telemetry.record_change(&change, source, revision);
             }
             if let Change::Routes(version) = change {
                 let bytes = item.value.as_ref().map_or(0, Vec::len);
                 gw.telemetry
-                    .in_force(version, source, bytes, lag, state.age(now));
+                    .record_config_in_force(version, source, bytes, lag, state.age(now));
             }
         }
     }
     state.record_reached_revision(reached);
     if !new_items.is_empty() {
-        gw.news.notify_waiters();
+        gw.items_changed.notify_waiters();
     }
 }
 
@@ -203,7 +205,7 @@
 ///
 /// A failed page is retried on its own instead of restarting from the first page: where every third
 /// call was rejected, a read of six pages never completed in one go
-/// (platform/tests/first_reads.rs).
+/// (platform/tests/initial_sync.rs).
 async fn try_read_snapshot(gw: &Gateway, store: &dyn ControlStore, max_failures: u32) -> bool {
     let mut snapshot = SnapshotRead::start(Now::read());
     let mut backoff = Backoff::new();
@@ -246,7 +248,7 @@
 
     /// Reads the next page; returns false if the store did not answer.
     async fn read_page(&mut self, gw: &Gateway, store: &dyn ControlStore) -> bool {
-        gw.telemetry.store_called("list");
+        gw.telemetry.count_store_call("list");
         let page = match store.read_page(self.next_page.as_deref()).await {
             Ok(page) => page,
             Err(err) => {
@@ -270,7 +272,7 @@
             items: self.items,
         };
         apply_changes(gw, store, changes, "list");
-        gw.confirm(self.started_at);
+        gw.confirm_fresh_as_of(self.started_at);
     }
 }
 
@@ -297,7 +299,7 @@
             continue;
         }
         let after = gw.mirror.borrow().revision();
-        gw.telemetry.store_called("watch");
+        gw.telemetry.count_store_call("watch");
         match store.watch(after, WATCH_TIMEOUT).await {
             Ok(WatchResult::Changes(items, revision)) => {
                 gw.store_answered(Now::read());
@@ -325,7 +327,7 @@
         let age = gw.knowledge.borrow().age(Now::read());
         let max_age = match gw.is_hub() {
             true => HUB_CHECK_AGE,
-            false => gw.settings().bounds.own_check_age(),
+            false => gw.settings().bounds.store_check_age(),
         };
         if age.is_some_and(|age| age < max_age) || is_transfer_in_progress(gw, store) {
             continue;
@@ -342,7 +344,7 @@
 /// store did not answer.
 async fn check_revision(gw: &Gateway, store: &dyn ControlStore) -> bool {
     let sent = Now::read();
-    gw.telemetry.store_called("check");
+    gw.telemetry.count_store_call("check");
     let revision = match store.read_revision().await {
         Ok(revision) => revision,
         Err(err) => {
@@ -369,14 +371,14 @@
         log::info!(revision; "this box is still behind after reading the changes, reading a full snapshot");
         return try_read_snapshot(gw, store, MAX_PAGE_FAILURES_PER_CHECK).await;
     }
-    gw.confirm(sent.monotonic);
+    gw.confirm_fresh_as_of(sent.monotonic);
     true
 }
 
 /// Returns whether a transfer to this box is in progress that may contain what it lacks. A second
 /// copy at the same time would delay both.
 fn is_transfer_in_progress(gw: &Gateway, store: &dyn ControlStore) -> bool {
-    gw.asking.is_fetching() || store.is_receiving_response()
+    gw.hub_queries.is_fetching() || store.is_receiving_response()
 }
 
 fn is_behind(gw: &Gateway, revision: u64) -> bool {
@@ -388,7 +390,7 @@
 async fn catch_up(gw: &Gateway, store: &dyn ControlStore) -> bool {
     let after = gw.mirror.borrow().revision();
     log::info!(after; "this box is behind, reading the missed changes");
-    gw.telemetry.store_called("changes");
+    gw.telemetry.count_store_call("changes");
     match store.watch(after, CATCH_UP_TIMEOUT).await {
         Ok(WatchResult::Changes(items, revision)) => {
             apply_items(gw, store, items, revision, "changes")
--- a/src/gateway/versions/recording.rs
+++ b/src/gateway/versions/recording.rs
@@ -7,7 +7,7 @@
 use super::statistics::{LatencyMetric, ResponseKind, SampledRequest};
 use crate::clock::Now;
 use crate::gateway::Gateway;
-use crate::gateway::admit::job::Job;
+use crate::gateway::admit::request::AdmittedRequest;
 use crate::gateway::attempt::exchange::{Answer, TryOutcome};
 use crate::gateway::attempt::upstream::Upstream;
 use crate::gateway::control::rollout::Rollout;
@@ -28,7 +28,7 @@
     /// fails at the next as well, whatever their versions.
     pub fn start_response_timer(
         &self,
-        job: &Job,
+        job: &AdmittedRequest,
         choice: &PlacementChoice,
         now: Now,
     ) -> Option<ResponseTimer> {
@@ -68,7 +68,7 @@
     /// Starts to time the events of a stream; `gaps` is the number of intervals that are timed.
     pub fn start_event_timer(
         &self,
-        job: &Job,
+        job: &AdmittedRequest,
         upstream: &Upstream,
         gaps: usize,
         now: Now,
@@ -86,25 +86,36 @@
         )
     }
 
-    fn sampled_request(&self, job: &Job, upstream: &Upstream, now: Now) -> Option<SampledRequest> {
+    fn sampled_request(
+        &self,
+        job: &AdmittedRequest,
+        upstream: &Upstream,
+        now: Now,
+    ) -> Option<SampledRequest> {
         let knowledge = self.knowledge.borrow();
         let rollout = knowledge.rollout(&job.service)?;
         upstream.with_listed(|listed| sampled_request(rollout, &listed.version, now))
     }
 
     /// Records the first event of a response.
-    pub fn record_first_event(&self, job: &Job, answer: &Answer, model: &str, now: Now) {
+    pub fn record_first_event(
+        &self,
+        job: &AdmittedRequest,
+        answer: &Answer,
+        model: &str,
+        now: Now,
+    ) {
         let upstream = answer.upstream();
         let took = now.monotonic.saturating_sub(answer.sent_at);
         self.telemetry
-            .first_event(job, model, took, upstream.pending_prefill(now));
+            .record_first_event(job, model, took, upstream.pending_prefill(now));
         if answer.measures_prefill_rate {
-            self.learn_rate(&job.service, model, job.prompt.reading_tokens(), took);
+            self.record_reading_rate(&job.service, model, job.prompt.weighted_tokens(), took);
         }
         upstream.with_listed(|listed| {
             self.sessions
                 .borrow_mut()
-                .record_version(&job.session, &listed.version, now);
+                .record_version(&job.session_id, &listed.version, now);
         });
     }
 
@@ -173,6 +184,6 @@
     /// Returns whether this box started so recently that it may not yet have heard of a rejected
     /// version.
     pub fn has_just_started(&self, now: Now) -> bool {
-        now.monotonic.saturating_sub(self.started) < NEW_VERSION_HOLDOFF
+        now.monotonic.saturating_sub(self.started_at) < NEW_VERSION_HOLDOFF
     }
 }
--- a/tests/gateway/freshness.rs
+++ b/tests/gateway/freshness.rs
@@ -3,11 +3,11 @@
 use super::{at, cases, listed};
 use gatepier::gateway::admit::routes::{Caller, Organisation, RouteTable};
 use gatepier::gateway::admit::serve::check;
-use gatepier::gateway::answer::refusal::Why;
+use gatepier::gateway::answer::refusal::RefusalReason;
 use gatepier::gateway::attempt::retries::RetryBound;
 use gatepier::gateway::control::state::{Change, ConfigFreshness, ControlPlaneState};
 use gatepier::gateway::control::store::Update;
-use gatepier::gateway::settings::{Bounds, UnprovedKeys};
+use gatepier::gateway::settings::{Bounds, UnverifiedKeyPolicy};
 use gatepier::gateway::versions::exposure::ExposureBound;
 use googletest::prelude::*;
 use std::sync::Arc;
@@ -38,11 +38,11 @@
     own_check_age_follows_from_the_configuration_bound => {
         // Guards against a fixed age of 1.5 s: with a configuration bound of four seconds, 295
         // boxes called the store needlessly while their hubs were reading a full snapshot.
-        let of = |config: u64| Bounds { config: Duration::from_millis(config), ..bounds() };
-        expect_that!(of(2000).own_check_age(), eq(Duration::from_millis(1500)));
-        expect_that!(of(1000).own_check_age(), eq(Duration::from_millis(750)));
+        let of = |config: u64| Bounds { config_delay: Duration::from_millis(config), ..bounds() };
+        expect_that!(of(2000).store_check_age(), eq(Duration::from_millis(1500)));
+        expect_that!(of(1000).store_check_age(), eq(Duration::from_millis(750)));
         for config in [3000, 4000, 60_000] {
-            expect_that!(of(config).own_check_age(), eq(Duration::from_millis(1850)));
+            expect_that!(of(config).store_check_age(), eq(Duration::from_millis(1850)));
         }
     }
 
@@ -50,9 +50,9 @@
         let organisation = organisation();
         let known = Caller::Known(&organisation);
         let known = Some(known);
-        expect_that!(check(known, ConfigFreshness::Unconfirmed, UnprovedKeys::ServeKnown), ok(anything()));
-        expect_that!(check(known, ConfigFreshness::Unconfirmed, UnprovedKeys::Refuse), err(eq(Why::Stale)));
-        for unproved in [UnprovedKeys::ServeKnown, UnprovedKeys::Refuse] {
+        expect_that!(check(known, ConfigFreshness::Unconfirmed, UnverifiedKeyPolicy::ServeKnown), ok(anything()));
+        expect_that!(check(known, ConfigFreshness::Unconfirmed, UnverifiedKeyPolicy::Refuse), err(eq(RefusalReason::Stale)));
+        for unproved in [UnverifiedKeyPolicy::ServeKnown, UnverifiedKeyPolicy::Refuse] {
             for proof in [ConfigFreshness::Current, ConfigFreshness::KeysValid] {
                 expect_that!(check(known, proof, unproved), ok(anything()));
             }
@@ -60,12 +60,12 @@
     }
 
     unknown_key_gets_a_retryable_refusal_until_confirmed_unknown => {
-        for unproved in [UnprovedKeys::ServeKnown, UnprovedKeys::Refuse] {
+        for unproved in [UnverifiedKeyPolicy::ServeKnown, UnverifiedKeyPolicy::Refuse] {
             let proved = check(Some(Caller::Unknown), ConfigFreshness::Current, unproved);
-            expect_that!(proved, err(eq(Why::UnknownKey)));
+            expect_that!(proved, err(eq(RefusalReason::UnknownKey)));
             for proof in [ConfigFreshness::KeysValid, ConfigFreshness::Unconfirmed, ConfigFreshness::Outdated] {
                 let unsure = check(Some(Caller::Unknown), proof, unproved);
-                expect_that!(unsure, err(eq(Why::Stale)));
+                expect_that!(unsure, err(eq(RefusalReason::Stale)));
             }
         }
     }
@@ -73,10 +73,10 @@
     missing_route_gets_a_retryable_refusal_until_confirmed_missing => {
         // Guards against answering 404 for every unknown route: routes confirmed three seconds
         // before were finally refused by boxes that had not received them yet.
-        for unproved in [UnprovedKeys::ServeKnown, UnprovedKeys::Refuse] {
-            expect_that!(check(None, ConfigFreshness::Current, unproved), err(eq(Why::NoRoute)));
+        for unproved in [UnverifiedKeyPolicy::ServeKnown, UnverifiedKeyPolicy::Refuse] {
+            expect_that!(check(None, ConfigFreshness::Current, unproved), err(eq(RefusalReason::NoRoute)));
             for proof in [ConfigFreshness::KeysValid, ConfigFreshness::Unconfirmed, ConfigFreshness::Outdated] {
-                expect_that!(check(None, proof, unproved), err(eq(Why::Stale)));
+                expect_that!(check(None, proof, unproved), err(eq(RefusalReason::Stale)));
             }
         }
     }
@@ -84,12 +84,12 @@
     box_that_is_behind_for_too_long_serves_no_requests => {
         let organisation = organisation();
         for caller in [Caller::Known(&organisation), Caller::Anonymous, Caller::Unknown] {
-            for unproved in [UnprovedKeys::ServeKnown, UnprovedKeys::Refuse] {
+            for unproved in [UnverifiedKeyPolicy::ServeKnown, UnverifiedKeyPolicy::Refuse] {
                 let outdated = check(Some(caller), ConfigFreshness::Outdated, unproved);
-                expect_that!(outdated, err(eq(Why::Stale)));
+                expect_that!(outdated, err(eq(RefusalReason::Stale)));
             }
         }
-        expect_that!(check(Some(Caller::Anonymous), ConfigFreshness::Unconfirmed, UnprovedKeys::Refuse), ok(anything()));
+        expect_that!(check(Some(Caller::Anonymous), ConfigFreshness::Unconfirmed, UnverifiedKeyPolicy::Refuse), ok(anything()));
     }
 
     freshness_is_current_only_while_no_newer_revision_is_known => {
@@ -207,16 +207,16 @@
 /// Returns typical operators' bounds.
 fn bounds() -> Bounds {
     Bounds {
-        grace: Duration::from_secs(8),
-        revoke: Duration::from_secs(5),
-        config: Duration::from_secs(3),
+        grace_period: Duration::from_secs(8),
+        revocation_delay: Duration::from_secs(5),
+        config_delay: Duration::from_secs(3),
         retries: RetryBound {
             ratio: 0.9,
             slack: 20.0,
             window: Duration::from_secs(10),
         },
-        session: Duration::from_secs(5),
-        unproved_keys: UnprovedKeys::Refuse,
+        session_idle_limit: Duration::from_secs(5),
+        unverified_key_policy: UnverifiedKeyPolicy::Refuse,
         exposure: ExposureBound {
             share: 0.15,
             slack: 30.0,
--- a/tests/gateway/initial_sync.rs
+++ b/tests/gateway/initial_sync.rs
@@ -6,7 +6,7 @@
 
 use super::{at, cases};
 use gatepier::clock::Now;
-use gatepier::gateway::FirstWait;
+use gatepier::gateway::StartupWait;
 use gatepier::gateway::control::initial_sync::{StartingBox, SyncPlan, plan_initial_sync};
 use gatepier::gateway::control::store::BoxEntry;
 use googletest::prelude::*;
@@ -173,11 +173,11 @@
 }
 
 fn remaining_wait(caller_waits_ms: u64, now: Now) -> Duration {
-    let waiting = FirstWait {
+    let waiting = StartupWait {
         received: Duration::from_millis(100),
-        caller_waits: Some(Duration::from_millis(caller_waits_ms)),
+        caller_timeout: Some(Duration::from_millis(caller_waits_ms)),
     };
-    waiting.left(Duration::ZERO, now)
+    waiting.remaining(Duration::ZERO, now)
 }
 
 cases! {
@@ -303,7 +303,7 @@
         expect_that!(remaining_wait(20_000, at(200)), eq(Duration::from_millis(1300)));
         expect_that!(remaining_wait(20_000, at(1600)), eq(Duration::ZERO));
         expect_that!(remaining_wait(0, at(200)), eq(Duration::ZERO));
-        let silent = FirstWait { received: Duration::ZERO, caller_waits: None };
-        expect_that!(silent.left(Duration::ZERO, at(500)), eq(Duration::from_secs(1)));
+        let silent = StartupWait { received: Duration::ZERO, caller_timeout: None };
+        expect_that!(silent.remaining(Duration::ZERO, at(500)), eq(Duration::from_secs(1)));
     }
 }
