--- a/src/demo.rs
+++ b/src/demo.rs
@@ -29,13 +29,13 @@
 }
 
 /// Prints a progress line with the time since the start.
-fn progress(start: Instant, line: &str) {
+fn print_progress(start: Instant, line: &str) {
     println!("{:>6.2}s  {line}", start.elapsed().as_secs_f64());
 }
 
 async fn run_demo(serve: bool) -> Result<bool> {
     let start = Instant::now();
-    progress(
+    print_progress(
         start,
         "starting both partners: 4 boxes each in 2 halls, with stand-ins around them",
     );
@@ -43,7 +43,7 @@
     for partner in &environment.partners {
         put_bundle_into_force(partner).await?;
         wait_until_ready(partner).await?;
-        progress(
+        print_progress(
             start,
             &format!(
                 "{}: bundle proposed, signed off and in force",
@@ -61,7 +61,7 @@
     }
     partition_and_restore(&environment, start, &mut sent).await?;
     let all_hold = GuaranteeChecker::new(&environment, &sent).report().await?;
-    progress(
+    print_progress(
         start,
         if all_hold {
             "every promise was kept"
@@ -78,7 +78,7 @@
         sent.extend(send_mixed(partner, REQUESTS_PER_ROUND).await);
     }
     let answered = sent.iter().filter(|sent| sent.status == 200).count();
-    progress(
+    print_progress(
         start,
         &format!("{what}: {answered} of {} answered", sent.len()),
     );
@@ -162,7 +162,7 @@
     let version = &partner.second_version;
     operate(partner, 0, Command::Roll(version.clone(), 50)).await?;
     wait_until_in_force(partner, 3).await?;
-    progress(
+    print_progress(
         start,
         &format!("{}: {version} rolled out to 50 %", partner.name()),
     );
@@ -172,7 +172,7 @@
     wait_until_in_force(partner, 4).await?;
     partner.record_withdrawal(version);
     let took = began.elapsed().as_millis();
-    progress(
+    print_progress(
         start,
         &format!(
             "{}: {version} withdrawn, in force after {took} ms",
@@ -194,7 +194,7 @@
     links
         .iter()
         .for_each(|link| environment.proxy.set(link, LinkMode::Stalled));
-    progress(
+    print_progress(
         start,
         &format!("{}: hall {hall} is cut off from the store", partner.name()),
     );
@@ -202,13 +202,13 @@
     links
         .iter()
         .for_each(|link| environment.proxy.set(link, LinkMode::Open));
-    progress(start, &format!("{}: hall {hall} is healed", partner.name()));
+    print_progress(start, &format!("{}: hall {hall} is healed", partner.name()));
     Ok(())
 }
 
 /// Prints commands to try the system and serves until the process is told to stop.
 async fn serve_until_stopped(environment: &Environment, start: Instant) -> Result<bool> {
-    progress(start, "serving until interrupted; try:");
+    print_progress(start, "serving until interrupted; try:");
     for partner in &environment.partners {
         let router = partner.fleet.boxes[0].router;
         let settings: PathBuf = partner.fleet.operators[0].clone();
--- a/src/demo/requests.rs
+++ b/src/demo/requests.rs
@@ -74,7 +74,7 @@
     sent
 }
 
-/// Sends some requests that need claims, to check that claims are granted by all shards.
+/// Sends some requests that need claims, to check that claims are granted through all boxes.
 pub async fn send_claimed_probe(partner: &Partner) -> Vec<RequestRecord> {
     const PROBES: usize = 16;
     let client = reusing_client();
--- a/src/lab/fleet.rs
+++ b/src/lab/fleet.rs
@@ -76,7 +76,7 @@
     pub operators: Vec<PathBuf>,
     authority: String,
     authority_key: String,
-    common: String,
+    common_settings: String,
     operator_tables: String,
     credentials: String,
     router_extra: String,
@@ -160,7 +160,7 @@
             .map(|(hall, _)| format!("\"{hall}\""))
             .collect();
         let session_key = SessionKey::generate_text();
-        let common = format!(
+        let common_settings = format!(
             "partner = \"{}\"\nhalls = [{}]\n",
             plan.partner,
             halls.join(", ")
@@ -172,7 +172,7 @@
             operators: Vec::new(),
             authority: authority.certificate_pem().to_owned(),
             authority_key: authority.key_pem(),
-            common,
+            common_settings,
             operator_tables,
             credentials,
             router_extra: format!("session_key = \"{session_key}\"\n{}", plan.router_extra),
@@ -241,7 +241,10 @@
             router_settings: self.folder.join(format!("{name}.router.toml")),
             agent_settings: self.folder.join(format!("{name}.agent.toml")),
         };
-        let head = format!("{}box = \"{name}\"\nhall = \"{hall}\"\n", self.common);
+        let head = format!(
+            "{}box = \"{name}\"\nhall = \"{hall}\"\n",
+            self.common_settings
+        );
         let router = format!(
             "{head}listen = \"{}\"\nmetrics = \"{}\"\nagent = \"{}\"\nrater = \"{}\"\n{}{}{}",
             added.router,
--- a/tests/chaos.rs
+++ b/tests/chaos.rs
@@ -55,7 +55,7 @@
 }
 
 /// The attempts of all callers.
-type Log = Rc<RefCell<Vec<AttemptRecord>>>;
+type AttemptLog = Rc<RefCell<Vec<AttemptRecord>>>;
 
 fn env_or_default(name: &str, default: u64) -> u64 {
     std::env::var(name)
@@ -110,7 +110,7 @@
 }
 
 /// Runs one caller, which sends requests and retries those without a complete 200 response.
-async fn run_caller(bench: &CallerView, caller: usize, seed: u64, until: Instant, log: Log) {
+async fn run_caller(bench: &CallerView, caller: usize, seed: u64, until: Instant, log: AttemptLog) {
     let mut rng = StdRng::seed_from_u64(seed ^ (caller as u64 + 1) << 32);
     let mut number = 0;
     while Instant::now() < until {
@@ -525,7 +525,7 @@
         ..BenchPlan::default()
     };
     let bench = RefCell::new(Bench::start(plan).await);
-    let log: Log = Rc::default();
+    let log: AttemptLog = Rc::default();
     let until = Instant::now() + Duration::from_secs(seconds);
     let mut injector = FaultInjector {
         rng: StdRng::seed_from_u64(seed),
