--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -100,16 +100,16 @@
     retry_windows: RefCell<HashMap<String, RetryWindow>>,
     /// Which version serves each session.
     pub sessions: RefCell<SessionVersions>,
-    /// When each other box was last heard from.
+    /// When each other box was last in contact.
     pub last_contacts: RefCell<PeerLiveness>,
     /// Observations of versions under roll-out.
     pub versions: RefCell<VersionMonitor>,
-    /// How fast engines read prompts, by model.
-    pub reading_rates: PrefillRates,
+    /// How fast engines prefill prompts, by model.
+    pub prefill_rates: PrefillRates,
     /// The load that the other boxes put on upstreams.
     pub peer_loads: RefCell<PeerLoads>,
     /// Long prompt reads that have not been announced to the other boxes yet.
-    pub long_reads: LongPrefillOutbox,
+    pub long_prefills: LongPrefillOutbox,
     /// Logs and metrics.
     pub telemetry: Telemetry,
     /// The name of this run of the box's process: the box's name and its start time.
@@ -149,8 +149,8 @@
             retry_windows: RefCell::default(),
             peer_loads: RefCell::default(),
             last_contacts: RefCell::default(),
-            long_reads: LongPrefillOutbox::default(),
-            reading_rates: PrefillRates::default(),
+            long_prefills: LongPrefillOutbox::default(),
+            prefill_rates: PrefillRates::default(),
             telemetry: Telemetry::new(metrics),
             incarnation,
             lease: Cell::new(None),
@@ -180,10 +180,11 @@
         })
     }
 
-    /// Returns how long an engine of a service takes to read this many prompt tokens for a model.
-    pub fn prompt_reading_time(&self, service: &str, model: Option<&str>, tokens: f64) -> Duration {
+    /// Returns how long an engine of a service takes to prefill this many prompt tokens for a
+    /// model.
+    pub fn prompt_prefill_time(&self, service: &str, model: Option<&str>, tokens: f64) -> Duration {
         self.with_model_pace(service, model, |pace| {
-            self.reading_rates.prefill_time(pace, tokens)
+            self.prefill_rates.prefill_time(pace, tokens)
         })
     }
 
@@ -192,11 +193,11 @@
         self.with_model_pace(service, model, |pace| pace.price_part >= 1.0)
     }
 
-    /// Updates a model's reading rate from a first event for which an engine read only this many
-    /// tokens.
-    pub fn record_reading_rate(&self, service: &str, model: &str, tokens: f64, took: Duration) {
+    /// Updates a model's prefill rate from a first event for which an engine prefilled only this
+    /// many tokens.
+    pub fn record_prefill_rate(&self, service: &str, model: &str, tokens: f64, took: Duration) {
         self.with_model_pace(service, Some(model), |pace| {
-            self.reading_rates.record(pace, tokens, took);
+            self.prefill_rates.record(pace, tokens, took);
         });
     }
 
@@ -255,7 +256,7 @@
     }
 
     /// Returns what the age of its knowledge allows this box to decide.
-    pub fn proof(&self, now: Now) -> ConfigFreshness {
+    pub fn config_freshness(&self, now: Now) -> ConfigFreshness {
         let settings = self.settings();
         self.knowledge.borrow().freshness(&settings.bounds, now)
     }
--- a/src/gateway/admit/prompt.rs
+++ b/src/gateway/admit/prompt.rs
@@ -14,11 +14,11 @@
 }
 
 /// The prompt length at which attention, which grows with the square of the length, takes as long
-/// as the rest of reading the prompt; fits the first events of prompts of 20,000 to 45,000 tokens.
+/// as the rest of the prefill; fits the first events of prompts of 20,000 to 45,000 tokens.
 const ATTENTION_PARITY_TOKENS: f64 = 100_000.0;
 
 impl Prompt {
-    /// Returns the number of tokens weighted by the time to read them: in a long prompt, each token
+    /// Returns the number of tokens weighted by their prefill time: in a long prompt, each token
     /// takes longer.
     pub fn weighted_tokens(&self) -> f64 {
         let tokens = self.tokens as f64;
--- a/src/gateway/admit/request.rs
+++ b/src/gateway/admit/request.rs
@@ -207,7 +207,7 @@
             measures_prefill_rate: choice.measures_prefill_rate(),
             may_reuse_connection: self.route.kind.is_repeatable(),
         };
-        gw.long_reads
+        gw.long_prefills
             .push_if_long(&gw.incarnation, upstream, limits.prefill);
         let outgoing = self.build_outgoing(gw, &choice, plan, now);
         let timing = gw.start_response_timer(self, &choice, now);
@@ -232,10 +232,7 @@
     /// Decides whether a request that may have crashed upstreams may be sent; begins its trial if
     /// it has to prove itself.
     fn check_quarantine(&self, gw: &Gateway, now: Now) -> Result<(), NoAttempt> {
-        match (
-            gw.quarantine.standing(self.fingerprint, now),
-            self.trial.get(),
-        ) {
+        match (gw.quarantine.state(self.fingerprint, now), self.trial.get()) {
             (QuarantineState::Clear, _) => Ok(()),
             (QuarantineState::Quarantined, _) => Err(NoAttempt::Quarantined),
             // This request holds the trial, and no upstream has run it yet.
@@ -260,13 +257,13 @@
 
     /// Records that a run of the request broke off, which ends its trial.
     pub fn record_broken_run(&self, gw: &Gateway, upstream: &Rc<Upstream>, now: Now) {
-        let part = match self.is_on_trial() {
+        let role = match self.is_on_trial() {
             true => CrashRole::OnTrial,
             false => CrashRole::Concurrent,
         };
         let run = InterruptedRun {
             request: self.fingerprint,
-            part,
+            role,
         };
         gw.record_interrupted_run(run, upstream, now);
         self.finish_trial();
@@ -320,7 +317,7 @@
     ) -> Option<SharedPrompt<'a>> {
         let all_tokens = self.prompt.weighted_tokens();
         let shared_tokens = self.prompt.shared_tokens as f64;
-        let time = |tokens: f64| gw.prompt_reading_time(&self.service, model, tokens);
+        let time = |tokens: f64| gw.prompt_prefill_time(&self.service, model, tokens);
         Some(SharedPrompt {
             prefix_key: shared_prefix?,
             replication: match gw.is_most_expensive(&self.service, model) {
@@ -410,7 +407,7 @@
         if matches!(tried, TryOutcome::NotRun(NotRunReason::OtherInstance)) {
             gw.knowledge
                 .borrow_mut()
-                .remove_upstream(choice.upstream.life());
+                .remove_upstream(choice.upstream.incarnation());
         }
         match tried {
             TryOutcome::Unknown(UnknownReason::ConnectionBroken(_)) => {
@@ -443,9 +440,12 @@
         };
         let left = self.time_left(now).saturating_sub(DEADLINE_MARGIN);
         set(&names.deadline, &left.as_millis().to_string());
-        set(&names.expect_instance, &choice.upstream.life().instance);
-        if let PrefixSource::Fetched(keeper) = choice.prefix_source {
-            set(&names.fetch_from, &keeper.to_string());
+        set(
+            &names.expect_instance,
+            &choice.upstream.incarnation().instance,
+        );
+        if let PrefixSource::Fetched(source) = choice.prefix_source {
+            set(&names.fetch_from, &source.to_string());
         }
         if let Some(organisation) = &self.organisation {
             set(&names.organisation, &organisation.name);
--- a/src/gateway/admit/serve.rs
+++ b/src/gateway/admit/serve.rs
@@ -140,25 +140,25 @@
     let route = find_route(req, routes);
     let caller = route.map(|route| routes.caller(route, header(req, &gw.headers.key)));
     let policy = gw.settings().bounds.unverified_key_policy;
-    check(caller, gw.proof(now), policy)?;
+    check(caller, gw.config_freshness(now), policy)?;
     route.ok_or(RefusalReason::NoRoute)
 }
 
 /// Decides by its route and key whether a request is served; `caller` is `None` if no route
 /// matches.
 ///
-/// A request is only told that its route or key does not exist while the knowledge is proved to be
-/// the newest, since operators may have added it meanwhile. A box that has known for too long that
+/// A refusal says that a route or key does not exist only while the knowledge is proved to be the
+/// newest, since operators may have added it meanwhile. A box that has known for too long that
 /// something newer exists serves nothing by what it has.
 pub fn check(
     caller: Option<Caller<'_>>,
-    proof: ConfigFreshness,
+    freshness: ConfigFreshness,
     policy: UnverifiedKeyPolicy,
 ) -> Result<(), RefusalReason> {
-    if proof == ConfigFreshness::Outdated {
+    if freshness == ConfigFreshness::Outdated {
         return Err(RefusalReason::Stale);
     }
-    match (caller, proof) {
+    match (caller, freshness) {
         (Some(Caller::Anonymous), _) => Ok(()),
         (Some(Caller::Known(_)), ConfigFreshness::Current | ConfigFreshness::KeysValid) => Ok(()),
         (Some(Caller::Known(_)), _) => match policy {
--- a/src/gateway/answer/buffered.rs
+++ b/src/gateway/answer/buffered.rs
@@ -174,8 +174,8 @@
 /// The longest jitter that is added to a retry delay.
 const MAX_RETRY_JITTER: Duration = Duration::from_millis(500);
 
-/// Returns the jitter to add to a caller's retry delay, so that callers that were told to wait for
-/// the same moment do not all return at once.
+/// Returns the jitter to add to a caller's retry delay, so that callers with delays that end at the
+/// same moment do not all return at once.
 fn retry_jitter(request_id: &str, wait: Duration) -> Duration {
     const WAIT_DIVISOR: u32 = 4;
     let max_jitter = (wait / WAIT_DIVISOR).min(MAX_RETRY_JITTER);
--- a/src/gateway/answer/relay.rs
+++ b/src/gateway/answer/relay.rs
@@ -20,10 +20,10 @@
 
 /// How long an upstream may be silent to all requests before a connection probes whether it is
 /// alive, in tenths of the route's event gap. If it is not, another upstream resumes the stream;
-/// the rest of the gap is for reading the prompt there.
+/// the rest of the gap is for the prefill there.
 const SILENT_TIMEOUT_TENTHS: u32 = 3;
-/// The same if the upstream is alive: it has deferred the stream for a while, and reading the
-/// prompt again elsewhere would make the stream late anyway.
+/// The same if the upstream is alive: it has deferred the stream for a while, and another prefill
+/// elsewhere would make the stream late anyway.
 const ALIVE_TIMEOUT_TENTHS: u32 = 25;
 /// The number of events after which the pace of a stream is measured: other requests' long prompts
 /// delay single events, so it takes several.
@@ -201,7 +201,7 @@
         let candidates = self
             .gw
             .candidates(&self.request.service, &self.request.session_id, now);
-        let is_other = |upstream: &Rc<Upstream>| upstream.life() != pausing.life();
+        let is_other = |upstream: &Rc<Upstream>| upstream.incarnation() != pausing.incarnation();
         !pausing.needs_connect_success() && !candidates.iter().any(is_other)
     }
 
--- a/src/gateway/answer/stream.rs
+++ b/src/gateway/answer/stream.rs
@@ -26,8 +26,8 @@
 /// How long to wait before another upstream is tried although the first is alive, in percent of the
 /// latency objective.
 const ALIVE_TIMEOUT_PERCENT: u32 = 90;
-/// An alive upstream may take this multiple of the expected time, if that is longer: reading a long
-/// prompt again elsewhere takes longer than waiting for it.
+/// An alive upstream may take this multiple of the expected time, if that is longer: the prefill of
+/// a long prompt again elsewhere takes longer than waiting for it.
 const EXPECTED_TIME_FACTOR: u32 = 3;
 /// The delay before the upstreams that rejected a request are tried again.
 const RETRY_DELAY: Duration = Duration::from_millis(40);
--- a/src/gateway/attempt/connect.rs
+++ b/src/gateway/attempt/connect.rs
@@ -82,9 +82,9 @@
 
 impl ConnectionPool {
     /// Takes a connection that has been idle only briefly, if there is one.
-    pub fn take_idle(&self, life: &UpstreamLife, now: Now) -> Option<Connection> {
+    pub fn take_idle(&self, incarnation: &UpstreamLife, now: Now) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let connections = idle.get_mut(life)?;
+        let connections = idle.get_mut(incarnation)?;
         while let Some(mut connection) = connections.pop() {
             let idle_time = now.monotonic.saturating_sub(connection.idle_since);
             if idle_time < IDLE_LIFETIME && connection.sender.is_ready() {
@@ -120,13 +120,13 @@
     }
 
     /// Returns a connection to the pool after a complete answer.
-    pub fn release(&self, life: &UpstreamLife, mut connection: Connection, now: Now) {
+    pub fn release(&self, incarnation: &UpstreamLife, mut connection: Connection, now: Now) {
         if connection.sender.is_closed() {
             return;
         }
         connection.idle_since = now.monotonic;
         let mut idle = self.idle.borrow_mut();
-        let connections = idle.entry(life.clone()).or_default();
+        let connections = idle.entry(incarnation.clone()).or_default();
         if connections.len() < MAX_IDLE_PER_UPSTREAM {
             connections.push(connection);
         }
@@ -147,7 +147,7 @@
         match select_ok(attempts).await {
             Ok((connection, _)) => {
                 upstream.record_connect_success();
-                self.release(upstream.life(), connection, now);
+                self.release(upstream.incarnation(), connection, now);
                 true
             }
             Err(err) => {
--- a/src/gateway/attempt/crash_detection.rs
+++ b/src/gateway/attempt/crash_detection.rs
@@ -45,8 +45,8 @@
 pub struct InterruptedRun {
     /// The request.
     pub request: Fingerprint,
-    /// Its part in the crash, if the upstream did crash.
-    pub part: CrashRole,
+    /// Its role in the crash, if the upstream did crash.
+    pub role: CrashRole,
 }
 
 /// The work that is due: upstreams to check, and crashes to record.
@@ -72,7 +72,7 @@
             now.monotonic.saturating_sub(known.first_at) < INTERRUPTED_RUN_RETENTION
         });
         let known = interrupted
-            .entry(upstream.life().clone())
+            .entry(upstream.incarnation().clone())
             .or_insert_with(|| InterruptedRuns {
                 upstream: upstream.clone(),
                 runs: Vec::new(),
@@ -104,18 +104,22 @@
     }
 
     /// Records the result of a check; returns the runs of the upstream if it has not crashed.
-    fn finish_check(&self, life: &UpstreamLife, found: CrashCheckResult) -> Vec<InterruptedRun> {
+    fn finish_check(
+        &self,
+        incarnation: &UpstreamLife,
+        found: CrashCheckResult,
+    ) -> Vec<InterruptedRun> {
         let mut interrupted = self.interrupted.borrow_mut();
         match found {
             CrashCheckResult::Crashed => {
-                if let Some(known) = interrupted.get_mut(life) {
+                if let Some(known) = interrupted.get_mut(incarnation) {
                     known.state = CheckState::Crashed;
                 }
                 self.work_added.notify_one();
                 Vec::new()
             }
             CrashCheckResult::Alive | CrashCheckResult::Unreachable => interrupted
-                .remove(life)
+                .remove(incarnation)
                 .map_or_else(Vec::new, |known| known.runs),
         }
     }
@@ -130,14 +134,14 @@
     /// Records the requests that ran at an upstream when it crashed. An upstream that was about to
     /// leave has ended as planned, whatever ran there.
     fn record_crash(&self, upstream: &Upstream, runs: &[InterruptedRun], now: Now) {
-        if !self.knowledge.borrow().is_serving(upstream.life()) {
+        if !self.knowledge.borrow().is_serving(upstream.incarnation()) {
             return;
         }
         for run in runs {
             self.telemetry.record_request_at_crash(upstream, *run);
-            let life = upstream.short_hash();
+            let incarnation = upstream.short_hash();
             self.quarantine
-                .record_crash(life, run.request, run.part, now);
+                .record_crash(incarnation, run.request, run.role, now);
         }
     }
 }
@@ -162,11 +166,12 @@
     let opened = gw.connections.open(&upstream, now).await;
     let found = CrashCheckResult::from_connect_result(&opened);
     if let Ok(connection) = opened {
-        gw.connections.release(upstream.life(), connection, now);
+        gw.connections
+            .release(upstream.incarnation(), connection, now);
     }
     gw.telemetry.record_upstream_check(&upstream, found);
-    for run in gw.crashes.finish_check(upstream.life(), found) {
-        if run.part == CrashRole::OnTrial {
+    for run in gw.crashes.finish_check(upstream.incarnation(), found) {
+        if run.role == CrashRole::OnTrial {
             gw.quarantine.end_trial(run.request, now);
         }
     }
--- a/src/gateway/attempt/exchange.rs
+++ b/src/gateway/attempt/exchange.rs
@@ -183,7 +183,7 @@
         if let Some(connection) = self.connection.take()
             && !closes
         {
-            connections.release(self.upstream.life(), connection, now);
+            connections.release(self.upstream.incarnation(), connection, now);
         }
     }
 }
@@ -215,7 +215,7 @@
     let pending_prefill = upstream.begin_prefill(options.prefill);
     let began = Now::read();
     let idle = match options.may_reuse_connection {
-        true => connections.take_idle(upstream.life(), began),
+        true => connections.take_idle(upstream.incarnation(), began),
         false => None,
     };
     let mut connection = match idle {
--- a/src/gateway/attempt/quarantine.rs
+++ b/src/gateway/attempt/quarantine.rs
@@ -32,20 +32,20 @@
 
 impl Quarantine {
     /// Returns whether a request may be sent.
-    pub fn standing(&self, request: Fingerprint, now: Now) -> QuarantineState {
+    pub fn state(&self, request: Fingerprint, now: Now) -> QuarantineState {
         self.ledger.borrow().quarantine_state(request, now)
     }
 
     /// Records that a request ran at an upstream when that upstream crashed.
     pub fn record_crash(
         &self,
-        life: IncarnationHash,
+        incarnation: IncarnationHash,
         request: Fingerprint,
-        part: CrashRole,
+        role: CrashRole,
         now: Now,
     ) {
         self.change(request, "crash", now, |ledger| {
-            let record = ledger.add_crash(life, request, part, now);
+            let record = ledger.add_crash(incarnation, request, role, now);
             Some(QuarantineUpdate::Records(vec![record]))
         });
     }
@@ -111,13 +111,13 @@
         now: Now,
         change: impl FnOnce(&mut CrashLedger) -> Option<QuarantineUpdate>,
     ) {
-        let before = self.standing(request, now);
+        let before = self.state(request, now);
         let update = change(&mut self.ledger.borrow_mut());
-        let standing = self.standing(request, now);
-        if std::mem::discriminant(&before) != std::mem::discriminant(&standing) {
+        let after = self.state(request, now);
+        if std::mem::discriminant(&before) != std::mem::discriminant(&after) {
             let fingerprint = request.to_string();
             let fingerprint = fingerprint.as_str();
-            log::warn!(fingerprint, source; "{}", standing.describe());
+            log::warn!(fingerprint, source; "{}", after.describe());
         }
         if let Some(update) = update {
             self.outbox.push(update);
--- a/src/gateway/attempt/retries.rs
+++ b/src/gateway/attempt/retries.rs
@@ -94,11 +94,11 @@
     pub fn has_budget(&mut self, reason: RetryReason, now: Now) -> bool {
         self.drop_expired(now);
         let earned = self.first_sends.len() as f64 * self.bound.ratio * USED_RATIO_FRACTION;
-        let part = match reason {
+        let fraction = match reason {
             RetryReason::Failure => 1.0,
             RetryReason::Escalation => ESCALATION_BUDGET_FRACTION,
         };
-        self.retries.len() as f64 + 1.0 <= earned * part + self.bound.own_slack(self.boxes)
+        self.retries.len() as f64 + 1.0 <= earned * fraction + self.bound.own_slack(self.boxes)
     }
 
     fn drop_expired(&mut self, now: Now) {
--- a/src/gateway/attempt/tries.rs
+++ b/src/gateway/attempt/tries.rs
@@ -90,6 +90,6 @@
     pub fn exclude_upstream(&self, upstream: &Upstream) {
         self.tried_upstreams
             .borrow_mut()
-            .push(upstream.life().clone());
+            .push(upstream.incarnation().clone());
     }
 }
--- a/src/gateway/attempt/upstream.rs
+++ b/src/gateway/attempt/upstream.rs
@@ -13,9 +13,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// After this time, past successes and failures count half. It is long enough to tell an upstream
-/// that fails four requests in ten from a healthy one at a few requests per second, and short
-/// enough that the upstream is tried again within seconds.
+/// After this time, past successes and failures count half. It is long enough to distinguish an
+/// upstream that fails four requests in ten from a healthy one at a few requests per second, and
+/// short enough that the upstream is tried again within seconds.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(4);
 /// Number of assumed successes that keep a single failure of a new upstream from ruling it out.
 const PRIOR_SUCCESSES: f64 = 3.0;
@@ -43,7 +43,7 @@
 /// of the box.
 #[derive(Debug)]
 pub struct Upstream {
-    life: UpstreamLife,
+    incarnation: UpstreamLife,
     short_hash: u32,
     listed: RefCell<ListedUpstream>,
     load: Arc<UpstreamLoad>,
@@ -127,11 +127,11 @@
 impl Upstream {
     /// Creates the state of a newly registered upstream.
     pub fn new(listed: ListedUpstream) -> Rc<Self> {
-        let life = listed.life();
+        let incarnation = listed.incarnation();
         Rc::new(Self {
             // The lower half of a hash is as good as any other part.
-            short_hash: stable_hash(&life.to_string()) as u32,
-            life,
+            short_hash: stable_hash(&incarnation.to_string()) as u32,
+            incarnation,
             listed: RefCell::new(listed),
             load: Arc::default(),
             health: Cell::default(),
@@ -148,8 +148,8 @@
     }
 
     /// Identifies the upstream and its incarnation.
-    pub fn life(&self) -> &UpstreamLife {
-        &self.life
+    pub fn incarnation(&self) -> &UpstreamLife {
+        &self.incarnation
     }
 
     /// Returns a hash of the incarnation, by which boxes identify it in messages.
--- a/src/gateway/control/initial_sync.rs
+++ b/src/gateway/control/initial_sync.rs
@@ -21,10 +21,10 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The most boxes of a hall that read the store at once, so that one may be dead and one slow. In
+/// The most boxes of a hall that read the store at once, so that one may be down and one slow. In
 /// six halls they read 11 MB, which takes 0.1 s of the store's link.
 const MAX_READERS: usize = 3;
-/// The fewest boxes of a hall that read the store, if the hall has as many: one may be dead.
+/// The fewest boxes of a hall that read the store, if the hall has as many: one may be down.
 const MIN_READERS: usize = 2;
 /// A reader's link must be less than this many times narrower than the widest one. Reading the
 /// complete state takes 0.5 s at 10 Mbit/s and a few milliseconds at 200 Mbit/s.
--- a/src/gateway/control/lag.rs
+++ b/src/gateway/control/lag.rs
@@ -7,7 +7,7 @@
 /// without recent reports is considered disconnected and keeps serving with the state that it has.
 const REPORT_LIFETIME: Duration = Duration::from_secs(1);
 
-/// The newer revision that this box has been told of but has not reached yet, if any.
+/// The newer revision that this box knows to exist but has not reached yet, if any.
 #[derive(Debug, Default)]
 pub struct Lag(Option<NewerRevision>);
 
@@ -16,7 +16,8 @@
 struct NewerRevision {
     /// The revision that this box has to reach.
     revision: u64,
-    /// When this box was first told of this revision, and when it was last told of any newer one.
+    /// When this box was first notified of this revision, and when it was last notified of any
+    /// newer one.
     first_reported: Duration,
     last_reported: Duration,
 }
--- a/src/gateway/control/membership.rs
+++ b/src/gateway/control/membership.rs
@@ -15,7 +15,7 @@
 /// The time between two lease renewals.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(2600);
 
-/// Keeps the box registered until it is asked to stop.
+/// Keeps the box registered until its shutdown is requested.
 ///
 /// A stopping box releases its lease and must not register again: the other boxes would treat it as
 /// a member until the new lease expires, long after the process has ended.
@@ -104,9 +104,9 @@
 }
 
 /// Returns this box's rank among the live registered boxes, ordered by registration; rank 0 is the
-/// leader. `None` if this box hears from less than half of the others, since the leader's decisions
-/// depend on the other boxes' counts. Two boxes that both believe to be the leader do no harm,
-/// because records are written conditionally.
+/// leader. `None` if this box receives messages from less than half of the others, since the
+/// leader's decisions depend on the other boxes' counts. Two boxes that both believe to be the
+/// leader do no harm, because records are written conditionally.
 ///
 /// Boxes are compared by address and not by process, so that a restarted leader leads again at once
 /// instead of waiting for the lease of its previous process to expire.
--- a/src/gateway/control/state.rs
+++ b/src/gateway/control/state.rs
@@ -173,17 +173,17 @@
     fn apply_entry(&mut self, listed: ListedUpstream) -> Change {
         let instance = listed.instance.clone();
         let known = self.upstreams.get(&instance);
-        if listed.born.is_none() && known.is_some_and(|known| known.life().born.is_some()) {
+        if listed.born.is_none() && known.is_some_and(|known| known.incarnation().born.is_some()) {
             let reason = "the entry no longer states when the upstream started".to_owned();
             return self.apply_faulty(instance, reason);
         }
         self.faulty.remove(&instance);
         match known {
-            Some(known) if *known.life() != listed.life() => {
+            Some(known) if *known.incarnation() != listed.incarnation() => {
                 let restarted = Upstream::new(listed);
-                let life = restarted.life().clone();
+                let incarnation = restarted.incarnation().clone();
                 self.upstreams.insert(instance, restarted);
-                Change::UpstreamReborn(life)
+                Change::UpstreamReborn(incarnation)
             }
             Some(known) if known.lapsed_at().is_none() && known.listed() == listed => {
                 Change::Nothing
@@ -398,40 +398,42 @@
     }
 
     /// Returns whether this upstream incarnation is listed and not leaving.
-    pub fn is_serving(&self, life: &UpstreamLife) -> bool {
-        let known = self.upstreams.get(&life.instance);
-        known.is_some_and(|known| known.life() == life && !self.is_leaving(known))
+    pub fn is_serving(&self, incarnation: &UpstreamLife) -> bool {
+        let known = self.upstreams.get(&incarnation.instance);
+        known.is_some_and(|known| known.incarnation() == incarnation && !self.is_leaving(known))
     }
 
     /// Returns whether an upstream is leaving, according to its entry or to an announcement in an
     /// answer.
     fn is_leaving(&self, upstream: &Upstream) -> bool {
         let is_draining = upstream.with_listed(|listed| listed.draining);
-        is_draining || self.leaving.contains_key(upstream.life())
+        is_draining || self.leaving.contains_key(upstream.incarnation())
     }
 
     /// Records that this upstream incarnation has announced in an answer that it leaves; no later
     /// entry revokes that. Returns whether the announcement is new.
-    pub fn record_leaving(&mut self, life: &UpstreamLife, now: Now) -> bool {
-        self.leaving.insert(life.clone(), now.monotonic).is_none()
+    pub fn record_leaving(&mut self, incarnation: &UpstreamLife, now: Now) -> bool {
+        self.leaving
+            .insert(incarnation.clone(), now.monotonic)
+            .is_none()
     }
 
     /// Removes the announcements of upstreams that left long ago.
     pub fn prune_leaving(&mut self, now: Now) {
         let upstreams = &self.upstreams;
-        self.leaving.retain(|life, recorded| {
-            let known = upstreams.get(&life.instance);
-            let is_listed = known.is_some_and(|known| known.life() == life);
+        self.leaving.retain(|incarnation, recorded| {
+            let known = upstreams.get(&incarnation.instance);
+            let is_listed = known.is_some_and(|known| known.incarnation() == incarnation);
             is_listed || now.monotonic.saturating_sub(*recorded) < LEAVING_RETENTION
         });
     }
 
     /// Removes an upstream whose address answered for another instance, unless it has restarted in
     /// the meantime.
-    pub fn remove_upstream(&mut self, life: &UpstreamLife) {
-        let known = self.upstreams.get(&life.instance);
-        if known.is_some_and(|known| known.life() == life) {
-            self.upstreams.remove(&life.instance);
+    pub fn remove_upstream(&mut self, incarnation: &UpstreamLife) {
+        let known = self.upstreams.get(&incarnation.instance);
+        if known.is_some_and(|known| known.incarnation() == incarnation) {
+            self.upstreams.remove(&incarnation.instance);
         }
     }
 
--- a/src/gateway/control/store.rs
+++ b/src/gateway/control/store.rs
@@ -109,7 +109,7 @@
 
 impl ListedUpstream {
     /// Returns the incarnation that this entry describes.
-    pub fn life(&self) -> UpstreamLife {
+    pub fn incarnation(&self) -> UpstreamLife {
         UpstreamLife {
             instance: self.instance.clone(),
             born: self.born,
--- a/src/gateway/control/store_sync.rs
+++ b/src/gateway/control/store_sync.rs
@@ -59,7 +59,7 @@
 /// How often the wait looks for the registration.
 const REGISTRATION_POLL_INTERVAL: Duration = Duration::from_millis(4);
 
-/// Runs the initial sync and then keeps the state in sync for as long as the process lives.
+/// Runs the initial sync and then keeps the state in sync for as long as the process runs.
 pub async fn sync_with_store(gw: Rc<Gateway>, store: Rc<dyn ControlStore>) {
     let hall = register_and_read_hall(&gw, &store).await;
     run_initial_sync(&gw, &*store, hall).await;
@@ -104,7 +104,7 @@
     }
 }
 
-/// Periodically removes expired state for as long as the process lives.
+/// Periodically removes expired state for as long as the process runs.
 pub async fn expire_old_state(gw: Rc<Gateway>) {
     loop {
         sleep(EXPIRY_INTERVAL).await;
--- a/src/gateway/peers/fetch.rs
+++ b/src/gateway/peers/fetch.rs
@@ -231,7 +231,7 @@
     WireError::NoAnswer(reason.to_owned())
 }
 
-/// Serves fetches for as long as the process lives.
+/// Serves fetches for as long as the process runs.
 pub async fn serve_fetches(gw: Rc<Gateway>, listener: TcpListener) {
     let active = Rc::new(Cell::new(0));
     loop {
--- a/src/gateway/peers/fetch_planner.rs
+++ b/src/gateway/peers/fetch_planner.rs
@@ -2,10 +2,9 @@
 //! copies.
 //!
 //! A hub knows from their polls which boxes already have a change. It directs each box that lacks
-//! it to a box that has it and is not busy sending, or tells it to retry later if all are busy; so
-//! the number of senders doubles each round. A single sender would have to send 300 * 60 kB over
-//! its own link, 14 s at 10 Mbit/s; in rounds it sends eight copies. See
-//! `docs/design/spreading.md`.
+//! it to a box that has it and is not busy sending, or has it retry later if all are busy; so the
+//! number of senders doubles each round. A single sender would have to send 300 * 60 kB over its
+//! own link, 14 s at 10 Mbit/s; in rounds it sends eight copies. See `docs/design/spreading.md`.
 
 use crate::clock::Now;
 use serde::{Deserialize, Serialize};
@@ -14,7 +13,7 @@
 use std::time::Duration;
 
 /// The bytes that a box may be sending at a time. A link of 10 Mbit/s carries them in 0.08 s, which
-/// is about the time after which a box that was told to retry does so.
+/// is about the time after which a box that has to retry does so.
 const MAX_BYTES_IN_FLIGHT: usize = 100_000;
 /// The most boxes that a box sends to at a time, even if the change is small: each costs a
 /// connection and some processor time.
--- a/src/gateway/peers/hub_poller.rs
+++ b/src/gateway/peers/hub_poller.rs
@@ -24,14 +24,14 @@
 
 /// The time between two polls.
 const POLL_INTERVAL: Duration = Duration::from_millis(400);
-/// The time between two polls of a box that was told to retry a fetch: about the time until a
-/// sender is free again.
+/// The time between two polls of a box that has to retry a fetch: about the time until a sender is
+/// free again.
 const RETRY_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// The shortest time between two polls, however many fetches end or fail.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(30);
 /// How long a response may take before the next poll goes to another box. A round trip takes 3 ms
 /// and the scheduling delay of a busy processor about ten. When only the age of the last response
-/// was considered, a lost hub was polled in vain for 1.3 s.
+/// was considered, a lost hub was still polled for 1.3 s.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
 /// How old a hub's state may be for that hub to be polled again.
 const MAX_HUB_STATE_AGE: Duration = Duration::from_millis(1300);
@@ -111,7 +111,7 @@
     }
 }
 
-/// Polls hubs for as long as the process lives.
+/// Polls hubs for as long as the process runs.
 pub async fn poll_hubs(gw: &Gateway, send: impl AsyncFn(SocketAddr, PollRequest)) {
     let mut offset = 0;
     loop {
@@ -257,7 +257,7 @@
             true => FetchStatus::None,
             false => FetchStatus::Failed(source),
         });
-        // The next poll tells the hub that the sender is free, and confirms that the state is
+        // The next poll reports to the hub that the sender is free, and confirms that the state is
         // current.
         gw.hub_queries.poll_now.notify_one();
     });
--- a/src/gateway/peers/hubs.rs
+++ b/src/gateway/peers/hubs.rs
@@ -183,7 +183,7 @@
     }
 }
 
-/// Pushes new changes to the other hub and to recent pollers, for as long as the process lives.
+/// Pushes new changes to the other hub and to recent pollers, for as long as the process runs.
 ///
 /// Boxes at the same revision get the same update unless they have to fetch, so that a change is
 /// packed and encoded once and not for each box.
--- a/src/gateway/peers/leaving_upstreams.rs
+++ b/src/gateway/peers/leaving_upstreams.rs
@@ -14,7 +14,7 @@
     /// other boxes.
     pub fn note_upstream_leaving(&self, upstream: &Upstream, now: Now) {
         let mut state = self.knowledge.borrow_mut();
-        if state.record_leaving(upstream.life(), now) {
+        if state.record_leaving(upstream.incarnation(), now) {
             self.telemetry.record_leaving_upstream(upstream, "answer");
             self.leaving_upstreams.push(upstream.short_hash());
         }
@@ -26,14 +26,14 @@
         let is_named = |upstream: &&Rc<Upstream>| hashes.contains(&upstream.short_hash());
         let named: Vec<Rc<Upstream>> = state.upstreams().filter(is_named).cloned().collect();
         for upstream in named {
-            if state.record_leaving(upstream.life(), now) {
+            if state.record_leaving(upstream.incarnation(), now) {
                 self.telemetry.record_leaving_upstream(&upstream, "box");
             }
         }
     }
 }
 
-/// Broadcasts announcements to all other boxes, for as long as the process lives.
+/// Broadcasts announcements to all other boxes, for as long as the process runs.
 pub async fn broadcast_leaving(gw: &Gateway, send: impl AsyncFn(&[SocketAddr], Vec<u32>)) {
     loop {
         let hashes = gw.leaving_upstreams.next().await;
--- a/src/gateway/peers/messages.rs
+++ b/src/gateway/peers/messages.rs
@@ -2,7 +2,7 @@
 //!
 //! - The store's contents, see [`super::hubs`].
 //! - The load that each box has at each upstream, so that placement sees the load of all boxes.
-//! - Long reads as soon as they begin, since a load report comes too late for those.
+//! - Long prefills as soon as they begin, since a load report comes too late for those.
 //! - Counts of answers by version during a roll-out, sent to the live boxes registered longest, of
 //!   the whole fleet and of the own hall.
 //! - Versions that a box found bad, sent to all.
@@ -41,9 +41,9 @@
 const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 /// The number of boxes that receive version reports: the leader and the standby.
 const VERSION_REPORT_RECEIVERS: usize = 2;
-/// The most boxes that are told of a long read, so that the messages per box do not grow with the
-/// fleet; in a larger fleet, a rotating subset is told.
-const MAX_LONG_READ_RECEIVERS: usize = 96;
+/// The most boxes that are notified of a long prefill, so that the messages per box do not grow
+/// with the fleet; in a larger fleet, a rotating subset is notified.
+const MAX_LONG_PREFILL_RECEIVERS: usize = 96;
 /// The largest datagram. A load report for a hundred upstreams takes two kilobytes.
 const MAX_DATAGRAM_BYTES: usize = 32 * 1024;
 
@@ -66,15 +66,15 @@
     /// Sessions served by the old version of a service: the order's store revision and the hashes
     /// of the sessions.
     OldSessions(u64, Vec<u64>),
-    /// Long reads that the sender begins.
-    LongReads(Vec<LongPrefill>),
+    /// Long prefills that the sender begins.
+    LongPrefills(Vec<LongPrefill>),
     /// Requests that the sender knows to have been running at crashes.
     Suspects(QuarantineUpdate),
     /// Upstreams that have announced that they leave, by their hashes.
     Leaving(Vec<u32>),
 }
 
-/// Exchanges messages with other boxes for as long as the process lives.
+/// Exchanges messages with other boxes for as long as the process runs.
 pub async fn exchange(gw: Rc<Gateway>, store: Rc<dyn ControlStore>) -> Result<()> {
     let address = gw.settings().peer_addr;
     let error = |err| Error::Unreachable(format!("cannot listen on {address}: {err}"));
@@ -96,7 +96,7 @@
         receive(&gw, &store, &socket),
         report_versions(&gw, &socket),
         report_load(&gw, &socket),
-        broadcast_long_reads(&gw, &socket),
+        broadcast_long_prefills(&gw, &socket),
         hub_poller::poll_hubs(&gw, send_poll),
         hubs::push_updates(&gw, send_update),
         suspects::share_suspects(&gw, send_suspects),
@@ -146,11 +146,11 @@
         }
         PeerMessage::VersionFoundBad(order) => gw.accept_peer_rejection(order, &from.to_string()),
         PeerMessage::Load(load) => gw.peer_loads.borrow_mut().set_report(load, now),
-        PeerMessage::LongReads(reads) => {
+        PeerMessage::LongPrefills(prefills) => {
             let state = gw.knowledge.borrow();
             let mut loads = gw.peer_loads.borrow_mut();
-            for read in reads {
-                loads.add_long_prefill(read, &state, now);
+            for prefill in prefills {
+                loads.add_long_prefill(prefill, &state, now);
             }
         }
         PeerMessage::Suspects(update) => gw.quarantine.apply_peer_update(update, now),
@@ -178,7 +178,7 @@
             Self::VersionFoundBad(_) => "versions-found-bad",
             Self::RolloutElapsed(..) => "roll-out-times",
             Self::Load(_) => "load",
-            Self::LongReads(_) => "long-reads",
+            Self::LongPrefills(_) => "long-reads",
             Self::Suspects(_) => "suspects",
             Self::Leaving(_) => "leaving",
             Self::OldSessions(..) => "old-sessions",
@@ -225,7 +225,7 @@
             };
             send(gw, socket, &message, &receivers).await;
         }
-        for order in rollouts_found_bad_here(gw) {
+        for order in locally_rejected_rollouts(gw) {
             let message = PeerMessage::VersionFoundBad(order);
             send(gw, socket, &message, &gw.other_boxes()).await;
         }
@@ -236,9 +236,9 @@
     }
 }
 
-/// Returns the running orders whose targets this box found bad. The others are told until the
-/// leader has recorded it and everybody knows it from the store.
-fn rollouts_found_bad_here(gw: &Gateway) -> Vec<u64> {
+/// Returns the running orders whose targets this box found bad. The others are notified until the
+/// leader has recorded it and all boxes know it from the store.
+fn locally_rejected_rollouts(gw: &Gateway) -> Vec<u64> {
     let state = gw.knowledge.borrow();
     let mut found = gw.versions.borrow().local_rejections();
     found.retain(|revision| {
@@ -315,7 +315,7 @@
         sleep(report_interval(others.len())).await;
         let load = BoxLoad::collect(&gw.incarnation, &gw.knowledge.borrow());
         let is_idle = load.is_idle();
-        // During a trial of a version, a silent box is considered dead, so idle boxes report too.
+        // During a trial of a version, a silent box is considered failed, so idle boxes report too.
         let has_trial = gw.knowledge.borrow().has_running_rollout();
         if !(is_idle && was_idle) || has_trial {
             send(gw, socket, &PeerMessage::Load(load), &others).await;
@@ -327,13 +327,13 @@
     }
 }
 
-/// Tells other boxes at once of each long read that this box begins.
-async fn broadcast_long_reads(gw: &Gateway, socket: &UdpSocket) {
+/// Notifies other boxes at once of each long prefill that this box begins.
+async fn broadcast_long_prefills(gw: &Gateway, socket: &UdpSocket) {
     let mut offset = 0;
     loop {
-        let reads = gw.long_reads.next().await;
-        let others = rotating_subset(gw.other_boxes(), MAX_LONG_READ_RECEIVERS, &mut offset);
-        send(gw, socket, &PeerMessage::LongReads(reads), &others).await;
+        let prefills = gw.long_prefills.next().await;
+        let others = rotating_subset(gw.other_boxes(), MAX_LONG_PREFILL_RECEIVERS, &mut offset);
+        send(gw, socket, &PeerMessage::LongPrefills(prefills), &others).await;
     }
 }
 
--- a/src/gateway/peers/suspects.rs
+++ b/src/gateway/peers/suspects.rs
@@ -18,7 +18,7 @@
 /// The most records in one datagram.
 const MAX_RECORDS_PER_DATAGRAM: usize = 100;
 
-/// Sends new and known records to other boxes, for as long as the process lives.
+/// Sends new and known records to other boxes, for as long as the process runs.
 pub async fn share_suspects(gw: &Gateway, send: impl AsyncFn(&[SocketAddr], QuarantineUpdate)) {
     tokio::join!(
         broadcast_new_records(gw, &send),
--- a/src/gateway/place/choose.rs
+++ b/src/gateway/place/choose.rs
@@ -73,7 +73,7 @@
 ) -> Option<PlacementChoice> {
     let untried: Vec<&Rc<Upstream>> = candidates
         .iter()
-        .filter(|upstream| !params.tried.contains(upstream.life()))
+        .filter(|upstream| !params.tried.contains(upstream.incarnation()))
         .collect();
     let costs = match params.prompt {
         Some(prompt) => engine_costs(&untried, params, prompt, now),
@@ -106,7 +106,7 @@
 ) -> Option<Rc<Upstream>> {
     let untried = candidates
         .iter()
-        .filter(|upstream| !tried.contains(upstream.life()));
+        .filter(|upstream| !tried.contains(upstream.incarnation()));
     let fewest = untried.min_by_key(|upstream| {
         let tie = std::cmp::Reverse(rendezvous_weight(upstream, seed));
         (upstream.is_backing_off(now), upstream.occupancy(now), tie)
--- a/src/gateway/telemetry.rs
+++ b/src/gateway/telemetry.rs
@@ -182,7 +182,7 @@
         log::warn!(
             upstream = instance.as_str(),
             fingerprint = run.request.to_string().as_str(),
-            on_trial = run.part == CrashRole::OnTrial;
+            on_trial = run.role == CrashRole::OnTrial;
             "this request was running at an upstream when it crashed"
         );
     }
--- a/src/gateway/versions/latency_evidence.rs
+++ b/src/gateway/versions/latency_evidence.rs
@@ -25,8 +25,9 @@
     tail_sharpness: f64,
 }
 
-/// The degraded versions to tell from good ones. The first is the more likely one. The second slows
-/// so few responses that only the very highest ranks show it, and takes more responses to detect.
+/// The degraded versions to distinguish from good ones. The first is the more likely one. The
+/// second slows so few responses that only the very highest ranks show it, and takes more responses
+/// to detect.
 const DEGRADATION_MODELS: [DegradationModel; 2] = [
     DegradationModel {
         slowed_fraction: 0.2,
--- a/src/gateway/versions/recording.rs
+++ b/src/gateway/versions/recording.rs
@@ -110,7 +110,7 @@
         self.telemetry
             .record_first_event(job, model, took, upstream.pending_prefill(now));
         if answer.measures_prefill_rate {
-            self.record_reading_rate(&job.service, model, job.prompt.weighted_tokens(), took);
+            self.record_prefill_rate(&job.service, model, job.prompt.weighted_tokens(), took);
         }
         upstream.with_listed(|listed| {
             self.sessions
@@ -181,8 +181,7 @@
         }
     }
 
-    /// Returns whether this box started so recently that it may not yet have heard of a rejected
-    /// version.
+    /// Returns whether this box started so recently that it may not yet know of a rejected version.
     pub fn has_just_started(&self, now: Now) -> bool {
         now.monotonic.saturating_sub(self.started_at) < NEW_VERSION_HOLDOFF
     }
--- a/src/router/crash_guard.rs
+++ b/src/router/crash_guard.rs
@@ -48,7 +48,7 @@
         for record in records {
             let before = ledger.quarantine_state(record.request, now);
             ledger.merge_record(record, now);
-            log_standing_change(before, record.request, &ledger, now);
+            log_state_change(before, record.request, &ledger, now);
         }
     }
 
@@ -62,23 +62,18 @@
         let mut ledger = self.ledger();
         let before = ledger.quarantine_state(request, now);
         update(&mut ledger);
-        log_standing_change(before, request, &ledger, now);
+        log_state_change(before, request, &ledger, now);
         drop(ledger);
         self.changed.notify_one();
     }
 }
 
-/// Logs a change of a request's standing.
-fn log_standing_change(
-    before: QuarantineState,
-    request: Fingerprint,
-    ledger: &CrashLedger,
-    now: Now,
-) {
-    let standing = ledger.quarantine_state(request, now);
-    if std::mem::discriminant(&before) != std::mem::discriminant(&standing) {
+/// Logs a change of a request's quarantine state.
+fn log_state_change(before: QuarantineState, request: Fingerprint, ledger: &CrashLedger, now: Now) {
+    let after = ledger.quarantine_state(request, now);
+    if std::mem::discriminant(&before) != std::mem::discriminant(&after) {
         let fingerprint = request.to_string();
-        log::warn!(fingerprint = fingerprint.as_str(); "{}", standing.describe());
+        log::warn!(fingerprint = fingerprint.as_str(); "{}", after.describe());
     }
 }
 
@@ -102,14 +97,14 @@
 
     /// Decides whether the request may be sent now.
     pub fn admit(&self, dispatch_log: &DispatchLog, now: Now) -> Result<(), Refused> {
-        let standing = self
+        let state = self
             .shared
             .crash_suspects
             .ledger()
             .quarantine_state(self.request, now);
         let refused =
             |reason, message| Err(refuse(dispatch_log.refusal_outcome(), reason, message));
-        match standing {
+        match state {
             QuarantineState::Clear => Ok(()),
             QuarantineState::Suspect | QuarantineState::OnTrial(_) if self.on_trial.get() => Ok(()),
             QuarantineState::Suspect => {
@@ -138,7 +133,7 @@
         let fingerprint = self.request.to_string();
         let fingerprint = fingerprint.as_str();
         log::info!(upstream, fingerprint; "an attempt was interrupted: {result:?}");
-        let part = match was_on_trial {
+        let role = match was_on_trial {
             true => CrashRole::OnTrial,
             false => CrashRole::Concurrent,
         };
@@ -148,7 +143,7 @@
                 self.shared
                     .crash_suspects
                     .update(self.request, now, |ledger| {
-                        ledger.add_crash(incarnation, self.request, part, now);
+                        ledger.add_crash(incarnation, self.request, role, now);
                     });
             }
             CrashCheckResult::Alive | CrashCheckResult::Unreachable if was_on_trial => {
--- a/tests/gateway/peer_updates.rs
+++ b/tests/gateway/peer_updates.rs
@@ -132,7 +132,7 @@
         expect_that!(upstream.pending_prefill(at(5000)), eq(Duration::ZERO));
     }
 
-    long_reads_are_sent_to_a_rotating_subset_of_bounded_size => {
+    long_prefills_are_sent_to_a_rotating_subset_of_bounded_size => {
         let boxes: Vec<SocketAddr> =
             (1..=5).map(|port| SocketAddr::from(([127, 0, 0, 1], port))).collect();
         let mut offset = 0;
@@ -144,7 +144,7 @@
         expect_that!(ports(&second), eq(&vec![4, 5, 1]));
     }
 
-    long_read_of_another_box_counts_from_its_start_to_its_end => {
+    long_prefill_of_another_box_counts_from_its_start_to_its_end => {
         // Guards against counting only load reports: with 67 boxes they arrive once a second, and
         // boxes queued long prompts behind each other at one engine.
         let mut state = ControlPlaneState::default();
@@ -163,9 +163,9 @@
         expect_that!(upstream.pending_prefill(at(600)), eq(Duration::ZERO));
     }
 
-    unsent_long_reads_do_not_accumulate => {
+    unsent_long_prefills_do_not_accumulate => {
         // Guards against an unbounded queue: a box that cannot bind its socket for peers keeps
-        // serving, and kept every long read since its start. Old ones are of no use.
+        // serving, and kept every long prefill since its start. Old ones are of no use.
         let upstream = Upstream::new(listed("i-1", "engine", "ikeja"));
         let outgoing = LongPrefillOutbox::default();
         for number in 0..100_000 {
--- a/tests/gateway/placement.rs
+++ b/tests/gateway/placement.rs
@@ -192,7 +192,7 @@
 
     tried_upstreams_are_not_chosen => {
         let candidates = upstreams(1);
-        let tried = [candidates[0].life().clone()];
+        let tried = [candidates[0].incarnation().clone()];
         let params = PlacementParams { tried: &tried, ..params(None, 1) };
         expect_that!(choose_placement(&candidates, params, at(0)).is_none(), eq(true));
     }
--- a/tests/gateway/upstream_restarts.rs
+++ b/tests/gateway/upstream_restarts.rs
@@ -120,7 +120,7 @@
 
         let change = list(&mut state, entry_started_at(2000));
         let restarted = available(&state).remove(0);
-        expect_that!(change, eq(&Change::UpstreamReborn(restarted.life().clone())));
+        expect_that!(change, eq(&Change::UpstreamReborn(restarted.incarnation().clone())));
         expect_that!(restarted.is_backing_off(at(0)), eq(false));
         expect_that!(restarted.needs_connect_success(), eq(false));
         expect_that!(restarted.failure_rate(at(0)), eq(0.0));
@@ -145,15 +145,15 @@
         let previous = available(&state).remove(0);
         let _running = previous.begin_request();
         let reported = BoxLoad::collect("other", &state);
-        let long_reads = LongPrefillOutbox::default();
-        long_reads.push_if_long("other", &previous, Duration::from_secs(1));
-        let long_read = futures::executor::block_on(long_reads.next()).remove(0);
+        let long_prefills = LongPrefillOutbox::default();
+        long_prefills.push_if_long("other", &previous, Duration::from_secs(1));
+        let long_prefill = futures::executor::block_on(long_prefills.next()).remove(0);
 
         list(&mut state, entry_started_at(2000));
         let restarted = available(&state).remove(0);
         let mut loads = PeerLoads::default();
         loads.set_report(reported, at(0));
-        loads.add_long_prefill(long_read, &state, at(0));
+        loads.add_long_prefill(long_prefill, &state, at(0));
         loads.apply_to_upstreams(&state, at(0));
         expect_that!(restarted.occupancy(at(0)), eq(0));
         expect_that!(restarted.pending_prefill(at(0)), eq(Duration::ZERO));
@@ -166,10 +166,10 @@
         list(&mut state, entry_started_at(1000));
         let previous = available(&state).remove(0);
         list(&mut state, entry_started_at(2000));
-        state.remove_upstream(previous.life());
+        state.remove_upstream(previous.incarnation());
         expect_that!(available(&state).len(), eq(1));
         let restarted = available(&state).remove(0);
-        state.remove_upstream(restarted.life());
+        state.remove_upstream(restarted.incarnation());
         expect_that!(available(&state).len(), eq(0));
     }
 
@@ -185,7 +185,7 @@
         let mut state = ControlPlaneState::default();
         list(&mut state, entry_started_at(2000));
         list(&mut state, entry_started_at(1000));
-        expect_that!(available(&state)[0].life().born, some(eq(1000)));
+        expect_that!(available(&state)[0].incarnation().born, some(eq(1000)));
     }
 
     invalid_entry_disables_the_upstream_and_is_reported_once => {
@@ -235,7 +235,7 @@
                 Update::Upstream(listed) if !listed.draining => Some(listed.born),
                 _ => None,
             };
-            let used = available(&state).first().map(|upstream| upstream.life().born);
+            let used = available(&state).first().map(|upstream| upstream.incarnation().born);
             assert_that!(used, eq(expected), "seed {seed}");
         }
     }
@@ -250,7 +250,7 @@
             for _ in 0..boxes {
                 let state = deliver(&writes, &mut rng);
                 let start_times: Vec<Option<u64>> =
-                    available(&state).iter().map(|upstream| upstream.life().born).collect();
+                    available(&state).iter().map(|upstream| upstream.incarnation().born).collect();
                 assert_that!(start_times, eq(&vec![Some(3000)]), "{boxes} boxes");
             }
         }
@@ -261,9 +261,9 @@
     incarnation_that_announced_leaving_is_never_used_again => {
         let mut state = ControlPlaneState::default();
         list(&mut state, entry_started_at(1));
-        let life = entry_started_at(1).life();
-        expect_that!(state.record_leaving(&life, at(0)), eq(true));
-        expect_that!(state.record_leaving(&life, at(1)), eq(false));
+        let incarnation = entry_started_at(1).incarnation();
+        expect_that!(state.record_leaving(&incarnation, at(0)), eq(true));
+        expect_that!(state.record_leaving(&incarnation, at(1)), eq(false));
         expect_that!(available(&state), is_empty());
         state.apply(faulty("i-1"), at(2));
         list(&mut state, entry_started_at(1));
@@ -272,16 +272,16 @@
         state.prune_leaving(at(10_000));
         list(&mut state, entry_started_at(1));
         expect_that!(available(&state), is_empty());
-        expect_that!(state.is_serving(&life), eq(false));
+        expect_that!(state.is_serving(&incarnation), eq(false));
         list(&mut state, entry_started_at(2));
         expect_that!(available(&state).len(), eq(1));
     }
 
     announcements_of_upstreams_that_left_long_ago_are_removed => {
         let mut state = ControlPlaneState::default();
-        let life = entry_started_at(1).life();
-        state.record_leaving(&life, at(0));
+        let incarnation = entry_started_at(1).incarnation();
+        state.record_leaving(&incarnation, at(0));
         state.prune_leaving(at(601_000));
-        expect_that!(state.record_leaving(&life, at(601_000)), eq(true));
+        expect_that!(state.record_leaving(&incarnation, at(601_000)), eq(true));
     }
 }
