--- a/src/agent.rs
+++ b/src/agent.rs
@@ -218,7 +218,7 @@
             store_age_ms: store_age.and_then(|age| u64::try_from(age.as_millis()).ok()),
             list_revision: state.list().map_or(0, |list| list.revision),
             is_hub: self.is_hub(now),
-            peers_heard: self.peers.recently_heard_count(now),
+            peers_heard: self.peers.recent_contact_count(now),
             shards: (owned, granting),
             bills_waiting: waiting + self.unrecorded_finishes.borrow().len(),
             suspensions: state.suspensions_in_force(),
@@ -268,7 +268,7 @@
                 ControlRequest::Replicate(message, view) => {
                     claims::handle_replication(&self, *message, view.as_ref())
                 }
-                ControlRequest::HandOverShard(shard) => shards::take_over_yielded(&self, shard),
+                ControlRequest::HandOverShard(shard) => shards::take_over_on_request(&self, shard),
                 ControlRequest::Report(report) => {
                     self.merge_report(report);
                     ControlResponse::Done
--- a/src/agent/peers.rs
+++ b/src/agent/peers.rs
@@ -132,7 +132,7 @@
     }
 
     /// Returns the number of boxes that were in contact recently.
-    pub fn recently_heard_count(&self, now: Now) -> usize {
+    pub fn recent_contact_count(&self, now: Now) -> usize {
         let is_recent =
             |contact: &&LastContact| now.monotonic.saturating_sub(contact.at) <= SILENCE_LIMIT;
         self.contacts.borrow().values().filter(is_recent).count()
--- a/src/agent/shards.rs
+++ b/src/agent/shards.rs
@@ -302,7 +302,7 @@
 }
 
 /// Takes a shard over at the request of its owner, which is about to stop.
-pub fn take_over_yielded(agent: &Rc<Agent>, shard: ShardId) -> ControlResponse {
+pub fn take_over_on_request(agent: &Rc<Agent>, shard: ShardId) -> ControlResponse {
     let view = agent.state.borrow().view(&shard).cloned();
     let Some(view) = view.filter(|view| view.witness.as_ref() == Some(&agent.member)) else {
         return ControlResponse::Failed("this agent is not the shard's witness".to_owned());
@@ -310,7 +310,7 @@
     let agent = agent.clone();
     actix_rt::spawn(async move {
         if let Err(err) = take_over(&agent, &view, Now::read()).await {
-            log::debug!(shard = shard.to_string(); "the takeover of the yielded shard failed: {err}");
+            log::debug!(shard = shard.to_string(); "the takeover requested by the owner failed: {err}");
         }
     });
     ControlResponse::Done
@@ -371,13 +371,13 @@
         if owned.is_empty() || Instant::now() >= deadline {
             return;
         }
-        futures::future::join_all(owned.iter().map(|view| yield_shard(agent, view))).await;
+        futures::future::join_all(owned.iter().map(|view| request_takeover(agent, view))).await;
         sleep(MAINTENANCE_PERIOD).await;
     }
 }
 
-/// Asks the witness of a shard to take it over.
-async fn yield_shard(agent: &Rc<Agent>, view: &View) {
+/// Requests that the witness of a shard take it over.
+async fn request_takeover(agent: &Rc<Agent>, view: &View) {
     let witness = view.witness.as_ref();
     let address = witness.and_then(|witness| agent_address(agent, &witness.box_name));
     if let Some(address) = address {
--- a/src/box_list.rs
+++ b/src/box_list.rs
@@ -79,7 +79,7 @@
             .filter(move |listed| listed.service == service)
     }
 
-    /// Tells whether the list contains a box with this name.
+    /// Returns whether the list contains a box with this name.
     pub fn contains(&self, name: &str) -> bool {
         self.boxes.iter().any(|listed| listed.name == name)
     }
--- a/src/bundle.rs
+++ b/src/bundle.rs
@@ -56,7 +56,7 @@
 }
 
 impl Version {
-    /// Tells whether the version's dates allow it to serve at a given time.
+    /// Returns whether the version's dates allow it to serve at a given time.
     pub fn is_in_service(&self, at: WallTime) -> bool {
         self.enters.is_none_or(|enters| enters <= at)
             && self.leaves.is_none_or(|leaves| at < leaves)
--- a/src/change.rs
+++ b/src/change.rs
@@ -301,7 +301,7 @@
     })
 }
 
-/// Tells whether a bundle contains the version that a roll-out introduces.
+/// Returns whether a bundle contains the version that a roll-out introduces.
 fn contains_target(bundle: Option<&Bundle>, model: &str, rollout: &Rollout) -> bool {
     bundle
         .and_then(|bundle| bundle.models.get(model))
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -22,7 +22,7 @@
     pub check_only: bool,
 }
 
-/// The command that a daemon's command line asks for.
+/// The command that a daemon's command line selects.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DaemonCommand {
     /// Run the daemon, or only check its settings.
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -23,7 +23,7 @@
 const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Runs the demo and tells whether every guarantee held.
+/// Runs the demo and returns whether every guarantee held.
 pub fn run(serve: bool) -> Result<bool> {
     actix_rt::System::new().block_on(run_demo(serve))
 }
@@ -206,7 +206,7 @@
     Ok(())
 }
 
-/// Prints commands to try the system and serves until the process is told to stop.
+/// Prints commands to try the system and serves until the process is signalled to stop.
 async fn serve_until_stopped(environment: &Environment, start: Instant) -> Result<bool> {
     progress(start, "serving until interrupted; try:");
     for partner in &environment.partners {
--- a/src/demo/guarantees.rs
+++ b/src/demo/guarantees.rs
@@ -27,7 +27,7 @@
         Self { environment, sent }
     }
 
-    /// Waits for the bills, prints the tables and tells whether all guarantees hold.
+    /// Waits for the bills, prints the tables and returns whether all guarantees hold.
     pub async fn report(&self) -> Result<bool> {
         let mut all_hold = true;
         for partner in &self.environment.partners {
@@ -79,7 +79,7 @@
     }
 }
 
-/// Tells whether a request has to be billed.
+/// Returns whether a request has to be billed.
 fn is_billed(partner: &Partner, sent: &RequestRecord) -> bool {
     let is_model = matches!(sent.kind, RequestKind::Cascade | RequestKind::Stream);
     let is_billed_service = sent.kind == RequestKind::Claimed && partner.service == "portal-api";
--- a/src/demo/requests.rs
+++ b/src/demo/requests.rs
@@ -51,7 +51,7 @@
     pub status: u16,
     /// The version that answered; empty for a plain service.
     pub version: String,
-    /// The `gatepier-outcome` header, which says whether the request ran.
+    /// The `gatepier-outcome` header, which states whether the request ran.
     pub outcome: String,
     /// Whether the response was complete and belongs to this request.
     pub is_own_complete_answer: bool,
--- a/src/http_client/connector.rs
+++ b/src/http_client/connector.rs
@@ -1,5 +1,5 @@
 //! A connector whose connections report end of file as an error, so that a response body ends only
-//! where its framing says so.
+//! where its framing specifies.
 
 use crate::eof_error_stream::EofErrorStream;
 use actix_rt::net::TcpStream;
--- a/src/http_server.rs
+++ b/src/http_server.rs
@@ -40,7 +40,7 @@
     stop: oneshot::Sender<ListenerRelease>,
 }
 
-/// The server still accepts connections, and asks callers to close theirs with each response.
+/// The server still accepts connections, and each response instructs the caller to close its own.
 #[derive(Debug)]
 pub struct ShutdownAnnounced(Accepting);
 
@@ -78,8 +78,8 @@
         is_stopping
     }
 
-    /// Waits until the shutdown is announced, from when on callers are asked to close their
-    /// connections.
+    /// Waits until the shutdown is announced, from when on responses instruct callers to close
+    /// their connections.
     pub async fn shutdown_announced(&self) {
         self.shutdown_announced.cancelled().await;
     }
@@ -114,7 +114,7 @@
         })
     }
 
-    /// Asks callers from now on to close their connections.
+    /// Instructs callers from now on to close their connections.
     pub fn announce_shutdown(self) -> HttpServer<ShutdownAnnounced> {
         self.connections.shutdown_announced.cancel();
         HttpServer {
@@ -151,7 +151,7 @@
 impl HttpServer<Draining> {
     /// Waits until all connections are closed, and returns how many are still open after `limit`.
     ///
-    /// Idle connections stay open for a while first, since a request may be on its way.
+    /// Idle connections stay open for a while first, since a request may be in transit.
     pub async fn finish(self, limit: Duration) -> usize {
         let Connections { open, closing, .. } = &self.connections;
         let idle_grace = IDLE_GRACE.min(limit / 2);
--- a/src/http_server/accept.rs
+++ b/src/http_server/accept.rs
@@ -98,7 +98,7 @@
 /// Makes the kernel drop the first packet (SYN) of every new connection to a listener.
 ///
 /// The kernel resets connections that are still queued when a listener is closed, and a caller
-/// whose connection was reset cannot tell whether its request ran. A caller whose SYN is dropped
+/// whose connection was reset cannot know whether its request ran. A caller whose SYN is dropped
 /// sends it again after a second, and reaches the process that listens by then.
 fn drop_new_syns(listener: &TcpListener) -> std::io::Result<()> {
     SockRef::from(listener).attach_filter(&DROP_SYN_FILTER)
--- a/src/http_server/connection_close.rs
+++ b/src/http_server/connection_close.rs
@@ -1,4 +1,4 @@
-//! Closes connections in such a way that callers know what became of their requests.
+//! Closes connections so that callers can determine whether their requests ran.
 
 use super::Connections;
 use actix_http::Response;
@@ -10,7 +10,7 @@
 use tokio::time::timeout;
 
 /// How long the caller may take to close its side. If a connection is closed earlier, bytes that
-/// are still on the way reset it, and the caller loses what it has not read yet.
+/// are still in transit reset it, and the caller loses what it has not read yet.
 const PEER_CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Whether a response on a connection has carried `Connection: close`.
@@ -20,7 +20,7 @@
 }
 
 impl CloseHeader {
-    /// Returns whether a response has asked the caller to close the connection.
+    /// Returns whether a response has instructed the caller to close the connection.
     pub fn is_sent(&self) -> bool {
         self.is_sent.get()
     }
@@ -35,8 +35,9 @@
 
 /// Closes an idle connection.
 ///
-/// A caller that was not asked to close the connection may have sent a request that will not be
-/// read. `final_response` tells it so; this holds because no request is read once it is written.
+/// A caller that was not instructed to close the connection may have sent a request that will not
+/// be read. `final_response` reports this to the caller; it is correct because no request is read
+/// once it is written.
 pub async fn close_connection(
     mut stream: TcpStream,
     final_response: Option<&[u8]>,
--- a/src/http_server/reclaimable_stream.rs
+++ b/src/http_server/reclaimable_stream.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 pub struct StreamReclaimer {
     reclaimed: RefCell<Option<TcpStream>>,
-    /// Whether a response has asked the caller to close the connection.
+    /// Whether a response has instructed the caller to close the connection.
     pub close_header: CloseHeader,
 }
 
--- a/src/lab/fleet.rs
+++ b/src/lab/fleet.rs
@@ -113,7 +113,7 @@
     Err(Error::Unreachable("no free local address found".to_owned()))
 }
 
-/// Tells whether no process listens on a local address.
+/// Returns whether no process listens on a local address.
 ///
 /// Checks with a connection rather than by binding the address: a child process forked by another
 /// thread at that moment would inherit the listening socket until it calls `exec`, and the address
--- a/src/lab/model.rs
+++ b/src/lab/model.rs
@@ -19,7 +19,7 @@
 const GOOD_ANSWER_MARKER: &str = "~good~";
 const PROMPT_TOKENS: u64 = 8;
 
-/// The header with which a test names each attempt, so that the stand-ins' records tell which
+/// The header with which a test names each attempt, so that the stand-ins' records show which
 /// attempts ran.
 pub const TRY_HEADER: &str = "lab-try";
 
--- a/src/lab/proxy.rs
+++ b/src/lab/proxy.rs
@@ -156,7 +156,7 @@
     }
 }
 
-/// Tells whether a mode holds back the bytes of a direction.
+/// Returns whether a mode holds back the bytes of a direction.
 fn is_stalled(mode: LinkMode, is_answer: bool) -> bool {
     match mode {
         LinkMode::Stalled => true,
--- a/src/lab/store.rs
+++ b/src/lab/store.rs
@@ -267,10 +267,7 @@
                     let (response, is_answer_lost) = self.txn(&txn);
                     if is_answer_lost {
                         sleep(LOST_ANSWER_DELAY).await;
-                        return text_response(
-                            StatusCode::GATEWAY_TIMEOUT,
-                            "the answer is is_answer_lost",
-                        );
+                        return text_response(StatusCode::GATEWAY_TIMEOUT, "the answer is lost");
                     }
                     json_response(&response)
                 }
--- a/src/name.rs
+++ b/src/name.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// Tells whether a name can be used unescaped in store keys, headers and metrics.
+/// Returns whether a name can be used unescaped in store keys, headers and metrics.
 pub fn is_plain_name(text: &str) -> bool {
     const MAX_NAME_BYTES: usize = 64;
     let is_plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
--- a/src/operate/box_logs.rs
+++ b/src/operate/box_logs.rs
@@ -13,7 +13,7 @@
 use std::io::Read as _;
 use std::path::{Path, PathBuf};
 
-/// The file name that stands for standard input.
+/// The file name that denotes standard input.
 const STDIN_FILE_NAME: &str = "-";
 /// The maximum number of lines about the box itself that are shown from before the request.
 const MAX_PRECEDING_BOX_LINES: usize = 6;
@@ -147,7 +147,7 @@
     box_lines.split_off(box_lines.len().saturating_sub(MAX_PRECEDING_BOX_LINES))
 }
 
-/// Describes how a request ended, and whether it may have run if its lines say so.
+/// Describes how a request ended, and whether it may have run if its lines state this.
 fn describe_outcome(request_lines: &[&LogLine]) -> String {
     let Some(last) = request_lines.iter().rev().find(|line| is_final(line)) else {
         return "not known: no final line; its caller left, the process ended, or the log is cut"
--- a/src/outcome.rs
+++ b/src/outcome.rs
@@ -154,7 +154,7 @@
     ClaimsLost,
     /// The upstream failed.
     UpstreamFailed,
-    /// All upstreams that could serve have asked this router to back off.
+    /// All upstreams that could serve have requested a back-off from this router.
     Resting,
     /// The request is quarantined because it crashes the upstreams that run it.
     CrashesUpstreams,
--- a/src/retry_after.rs
+++ b/src/retry_after.rs
@@ -1,4 +1,4 @@
-//! Parses the `Retry-After` header, with which an upstream asks for a back-off.
+//! Parses the `Retry-After` header, with which an upstream requests a back-off.
 
 use crate::clock::WallTime;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 const MAX_BACKOFF: Duration = Duration::from_secs(24 * 3600);
 
 /// Parses the value of a `Retry-After` header: seconds, which may have a fraction, or a date
-/// (RFC 9110, section 10.2.3). Returns `None` if the value is invalid or asks for no back-off.
+/// (RFC 9110, section 10.2.3). Returns `None` if the value is invalid or requests no back-off.
 pub fn parse(text: &str, now: WallTime) -> Option<Duration> {
     let text = text.trim();
     let backoff = match text.parse::<f64>() {
--- a/src/router.rs
+++ b/src/router.rs
@@ -50,7 +50,7 @@
 /// it is not ready and send new callers elsewhere.
 const READINESS_DRAIN_DELAY: Duration = Duration::from_secs(2);
 
-/// Runs a router until it is asked to stop, and then until it has drained.
+/// Runs a router until it is signalled to stop, and then until it has drained.
 pub async fn run(settings: RouterSettings, stop: impl Future<Output = ()>) -> Result<()> {
     let metrics = Metrics::new()?;
     let (record_sender, record_queue) = mpsc::channel(RECORD_QUEUE_CAPACITY);
--- a/src/router/agent_client.rs
+++ b/src/router/agent_client.rs
@@ -45,7 +45,7 @@
     }
 
     /// Reports how a request ended. If the agent is the only one that has stored it so far, another
-    /// agent is asked to store it too, if there is one.
+    /// agent is requested to store it too, if there is one.
     async fn send_finish(&self, request: &ControlRequest) -> bool {
         match self.call(request, FINISH_TIMEOUT).await {
             Ok(ControlResponse::Done) => true,
--- a/src/router/agent_link.rs
+++ b/src/router/agent_link.rs
@@ -30,8 +30,9 @@
 const MAX_RECORDS_PER_REPORT: usize = 1000;
 
 /// Follows the updates of the own agent until the process ends, and those of another agent of the
-/// fleet while the own one is unavailable, so that a withdrawal also reaches a box whose agent died
-/// while nobody is there to restart it. The last state that was received stays in force while no agent can be reached.
+/// fleet while the own one is unavailable, so that a withdrawal also reaches a box whose agent
+/// has ended and has not been restarted. The last state that was received stays in force while no
+/// agent can be reached.
 pub async fn follow_agents(shared: Arc<RouterShared>, metrics: Metrics) {
     let own_client = WireClient::new(shared.settings.agent, shared.tls.clone());
     let mut evidence = Evidence::default();
--- a/src/router/cascade_step.rs
+++ b/src/router/cascade_step.rs
@@ -35,13 +35,13 @@
 pub struct CascadeStep<'a> {
     /// The model.
     pub model: &'a str,
-    /// The version, if the caller asked for a specific one.
+    /// The version, if the caller requested a specific one.
     pub pinned_version: Option<&'a VersionName>,
     /// The request.
     pub request: &'a CompletionRequest,
     /// The session.
     pub session: &'a Session,
-    /// Whether the upstream is asked for a stream.
+    /// Whether a stream is requested from the upstream.
     pub stream: bool,
     /// Stops requests that crash upstreams from being sent.
     pub crash_guard: &'a Rc<CrashGuard>,
--- a/src/router/claimed_request.rs
+++ b/src/router/claimed_request.rs
@@ -240,7 +240,7 @@
 }
 
 /// Converts the reply to a claim into a refusal. Only a reply that rules out that the key has run,
-/// for this attempt and for others, says "not run".
+/// for this attempt and for others, states "not run".
 fn claim_refusal(reply: ClaimReply) -> Refused {
     match reply {
         ClaimReply::NotNow(reason) => refuse(Outcome::NotRun, Reason::NoClaim, reason),
--- a/src/router/completions.rs
+++ b/src/router/completions.rs
@@ -37,9 +37,9 @@
 pub struct CompletionRequest {
     /// The request's JSON body.
     pub body: Map<String, Value>,
-    /// Whether the caller asked for a streamed response.
+    /// Whether the caller requested a streamed response.
     pub stream: bool,
-    /// The model, cascade or version that the caller asked for.
+    /// The model, cascade or version that the caller requested.
     pub requested_name: String,
     /// Identifies further sends of the same request.
     pub fingerprint: Fingerprint,
@@ -360,7 +360,7 @@
         res.insert_header((OUTCOME_HEADER, Outcome::Done.to_string()));
         return res.body(complete_answer.body).map_into_boxed_body();
     }
-    // The answer was held for its rating, so a caller who asked for a stream gets it in one event.
+    // The answer was held for its rating, so a caller who requested a stream gets it in one event.
     res.insert_header((CONTENT_TYPE, EVENT_STREAM));
     let mut events = BytesMut::from(&b"data: "[..]);
     events.extend_from_slice(&to_stream_chunk(&complete_answer.body));
--- a/src/router/context.rs
+++ b/src/router/context.rs
@@ -146,7 +146,7 @@
         self.shared.snapshot.load_full()
     }
 
-    /// Asks for a claim. If no agent replies, the claim is released in the background.
+    /// Requests a claim. If no agent replies, the claim is released in the background.
     pub async fn claim(
         self: &Rc<Self>,
         key: &ClaimKey,
@@ -192,7 +192,8 @@
 
     /// Records how a request ended, and returns once an agent has accepted it. While no agent can
     /// be reached the end of the response is held back for a limited time, since the billing record
-    /// would be lost if this router died; then the response is sent while the router keeps retrying.
+    /// would be lost if this router terminated; then the response is sent while the router keeps
+    /// retrying.
     pub async fn record_finish(self: &Rc<Self>, key: ClaimKey, attempt: AttemptId, finish: Finish) {
         let request = ControlRequest::Finish {
             key,
@@ -267,7 +268,7 @@
     }
 }
 
-/// Refuses a request because every upstream that could serve it has asked for a back-off.
+/// Refuses a request because every upstream that could serve it has requested a back-off.
 pub fn refuse_for_backoff(outcome: Outcome, backoff: Duration) -> Refused {
     Refused {
         retry_after: Some(backoff),
--- a/src/router/crash_guard.rs
+++ b/src/router/crash_guard.rs
@@ -1,6 +1,6 @@
 //! Stops requests that crash their upstreams from being sent again.
 //!
-//! Routers report the crashes they saw to their agent, and agents exchange them; see
+//! Routers report the crashes they observed to their agent, and agents exchange them; see
 //! `docs/design/quarantine.md`.
 
 use super::context::{RouterShared, refuse};
@@ -48,7 +48,7 @@
         for record in records {
             let before = ledger.quarantine_state(record.request, now);
             ledger.merge_record(record, now);
-            log_standing_change(before, record.request, &ledger, now);
+            log_quarantine_change(before, record.request, &ledger, now);
         }
     }
 
@@ -62,23 +62,23 @@
         let mut ledger = self.ledger();
         let before = ledger.quarantine_state(request, now);
         update(&mut ledger);
-        log_standing_change(before, request, &ledger, now);
+        log_quarantine_change(before, request, &ledger, now);
         drop(ledger);
         self.changed.notify_one();
     }
 }
 
-/// Logs a change of a request's standing.
-fn log_standing_change(
+/// Logs a change of a request's quarantine state.
+fn log_quarantine_change(
     before: QuarantineState,
     request: Fingerprint,
     ledger: &CrashLedger,
     now: Now,
 ) {
-    let standing = ledger.quarantine_state(request, now);
-    if std::mem::discriminant(&before) != std::mem::discriminant(&standing) {
+    let quarantine_state = ledger.quarantine_state(request, now);
+    if std::mem::discriminant(&before) != std::mem::discriminant(&quarantine_state) {
         let fingerprint = request.to_string();
-        log::warn!(fingerprint = fingerprint.as_str(); "{}", standing.describe());
+        log::warn!(fingerprint = fingerprint.as_str(); "{}", quarantine_state.describe());
     }
 }
 
@@ -102,14 +102,14 @@
 
     /// Decides whether the request may be sent now.
     pub fn admit(&self, dispatch_log: &DispatchLog, now: Now) -> Result<(), Refused> {
-        let standing = self
+        let quarantine_state = self
             .shared
             .crash_suspects
             .ledger()
             .quarantine_state(self.request, now);
         let refused =
             |reason, message| Err(refuse(dispatch_log.refusal_outcome(), reason, message));
-        match standing {
+        match quarantine_state {
             QuarantineState::Clear => Ok(()),
             QuarantineState::Suspect | QuarantineState::OnTrial(_) if self.on_trial.get() => Ok(()),
             QuarantineState::Suspect => {
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sends a request to an upstream and tells what is known if no response starts.
+//! Sends a request to an upstream and reports what is known if no response starts.
 //!
 //! All code paths that send requests go through here, so that there is a single rule for what
 //! proves that a request was not sent.
@@ -54,7 +54,7 @@
     Err(DispatchFailure { refused, is_unsent })
 }
 
-/// Reads from a response whether its upstream is leaving or asks for a back-off.
+/// Reads from a response whether its upstream is leaving or requests a back-off.
 fn apply_signals(response: &UpstreamResponse, upstream: &Upstream, now: Now) {
     let text = |name: &str| {
         let value = response.headers().get(name)?;
--- a/src/router/headers.rs
+++ b/src/router/headers.rs
@@ -3,7 +3,7 @@
 use crate::hop_by_hop::HopByHopHeaders;
 use actix_http::header::{AUTHORIZATION, CONNECTION, HOST, HeaderMap, HeaderName};
 
-/// Tells an upstream which organisation a request belongs to.
+/// Informs an upstream which organisation a request belongs to.
 pub const ORGANISATION_HEADER: &str = "gatepier-organisation";
 /// Identifies a request to an upstream, which may echo it.
 pub const UPSTREAM_ID_HEADER: &str = "x-request-id";
--- a/src/router/rating.rs
+++ b/src/router/rating.rs
@@ -1,4 +1,4 @@
-//! Asks the platform's rating service whether an answer is good.
+//! Requests ratings of answers, good or bad, from the platform's rating service.
 
 use super::context::Worker;
 use crate::evidence::EvidenceSubject;
--- a/src/router/responses.rs
+++ b/src/router/responses.rs
@@ -7,7 +7,7 @@
 use actix_http::{Response, StatusCode};
 use serde_json::json;
 
-/// Tells whether the request ran.
+/// States whether the request ran.
 pub const OUTCOME_HEADER: &str = "gatepier-outcome";
 /// Identifies the request, for repeats and for `gatepier explain`.
 pub const REQUEST_ID_HEADER: &str = "gatepier-request-id";
@@ -15,7 +15,7 @@
 pub const VERSION_HEADER: &str = "gatepier-version";
 /// Marks a response that was saved from an earlier send of the same request.
 pub const REPEATED_HEADER: &str = "gatepier-repeated";
-/// Tells whether an answer passed an inline gate by its rating.
+/// States whether an answer passed an inline gate by its rating.
 pub const RATED_HEADER: &str = "gatepier-rated";
 
 /// Returns the response for a refusal, with whether the request ran and when to retry.
--- a/src/router/stream_relay.rs
+++ b/src/router/stream_relay.rs
@@ -88,7 +88,7 @@
                 trace.record_refusal(&refused);
                 self.answer.record_failure(&worker);
                 let event = format!("data: {}\n\n", refusal_body(&refused));
-                // The error event tells clients that parse events, and the aborted body tells
+                // The error event shows clients that parse events, and the aborted body shows
                 // clients that read bytes, that the answer is incomplete.
                 let _ = body_sender.send(Ok(event.into())).await;
                 let _ = body_sender.send(Err(BodyError::Interrupted)).await;
@@ -126,8 +126,8 @@
             self.append_sample(&chunk);
             if self.scanner.is_done() && !is_billed {
                 is_billed = true;
-                // Boxed, so that a stream doesn't hold the memory of this future for its whole
-                // life.
+                // Boxed, so that a stream doesn't hold the memory of this future until it
+                // ends.
                 Box::pin(self.bill(worker, caller, trace)).await;
             }
             if body_sender.send(Ok(chunk)).await.is_err() {
--- a/src/router/worker_threads.rs
+++ b/src/router/worker_threads.rs
@@ -59,7 +59,7 @@
 }
 
 impl WorkerThreads {
-    /// Starts as many threads as the settings say.
+    /// Starts the configured number of threads.
     pub fn start(shared: &Arc<RouterShared>, connections: &Connections) -> Result<Self> {
         let threads = (0..shared.settings.workers)
             .map(|index| start_thread(index, shared.clone(), connections.clone()))
--- a/src/routing/signals.rs
+++ b/src/routing/signals.rs
@@ -33,9 +33,9 @@
     /// Reads the signals of a response with the given status.
     pub fn read(status: u16, headers: SignalHeaders<'_>, now: WallTime) -> Self {
         let is_refusal = matches!(status, TOO_MANY_REQUESTS | UNAVAILABLE);
-        let asked = headers.retry_after.filter(|_| is_refusal);
-        let requested_backoff = asked.and_then(|text| retry_after::parse(text, now));
-        if let (Some(text), None) = (asked, requested_backoff) {
+        let retry_after_text = headers.retry_after.filter(|_| is_refusal);
+        let requested_backoff = retry_after_text.and_then(|text| retry_after::parse(text, now));
+        if let (Some(text), None) = (retry_after_text, requested_backoff) {
             log::debug!(
                 "ignoring the Retry-After `{text}` of an upstream: invalid or no time left"
             );
--- a/src/wire/message.rs
+++ b/src/wire/message.rs
@@ -16,7 +16,7 @@
 pub enum ControlRequest {
     /// Another agent sends a summary of its state, to compare the two.
     Compare(StateSummary),
-    /// Another agent asks for a bundle's text by its digest.
+    /// Another agent requests a bundle's text by its digest.
     FetchBundle(String),
     /// An attempt claims a key.
     Claim {
@@ -50,13 +50,13 @@
     /// A shard's owner replicates a change to its witness, along with the view that it acts under
     /// if the witness may not know it.
     Replicate(Box<ReplicaMessage>, Option<View>),
-    /// A shard's owner is about to stop and asks its witness to take the shard over.
+    /// A shard's owner is about to stop and requests that its witness take the shard over.
     HandOverShard(ShardId),
     /// A router reports its decisions and their results.
     Report(RouterReport),
-    /// The command line asks for the decisions about a request, by its id.
+    /// The command line requests the decisions about a request, by its id.
     Explain(String),
-    /// The command line asks for the agent's status.
+    /// The command line requests the agent's status.
     Status,
 }
 
@@ -176,7 +176,7 @@
     pub list_revision: u64,
     /// Whether it makes the store calls on behalf of its hall.
     pub is_hub: bool,
-    /// Number of agents that it currently hears from.
+    /// Number of agents from which it currently receives messages.
     pub peers_heard: usize,
     /// Number of shards that it owns, and of those in which it can grant claims.
     pub shards: (usize, usize),
--- a/tests/common/callers.rs
+++ b/tests/common/callers.rs
@@ -27,7 +27,7 @@
         self.headers.get(name).map_or("", String::as_str)
     }
 
-    /// Returns the `gatepier-outcome` header, which says whether the request ran.
+    /// Returns the `gatepier-outcome` header, which states whether the request ran.
     pub fn outcome(&self) -> &str {
         self.header("gatepier-outcome")
     }
--- a/tests/common/operators.rs
+++ b/tests/common/operators.rs
@@ -20,7 +20,7 @@
         gatepier::wire::client::WireClient::new(self.boxes[name].files.agent, tls.unwrap())
     }
 
-    /// Claims an idempotency key through an agent and tells whether the claim was granted.
+    /// Claims an idempotency key through an agent and returns whether the claim was granted.
     pub async fn claim_key(&self, agent: &gatepier::wire::client::WireClient, id: &str) -> bool {
         use gatepier::claim::{AttemptId, ClaimKey, ClaimReply};
         use gatepier::wire::message::{ControlRequest, ControlResponse};
--- a/tests/common/persistent_connection.rs
+++ b/tests/common/persistent_connection.rs
@@ -18,7 +18,7 @@
     Answered {
         /// The HTTP status.
         status: u16,
-        /// The `gatepier-outcome` header, which says whether the request ran.
+        /// The `gatepier-outcome` header, which states whether the request ran.
         outcome: String,
         /// Whether it carries `connection: close`.
         closes_connection: bool,
@@ -32,7 +32,7 @@
 }
 
 impl RequestOutcome {
-    /// Tells whether the caller knows if its request ran: it was served, it was reported as not
+    /// Returns whether the caller knows if its request ran: it was served, it was reported as not
     /// run, or it was never sent.
     pub fn is_outcome_known(&self) -> bool {
         match self {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Tells whether the request was answered with status 200.
+    /// Returns whether the request was answered with status 200.
     pub fn is_served(&self) -> bool {
         matches!(self, Self::Answered { status: 200, .. })
     }
--- a/tests/common/scripted_upstream.rs
+++ b/tests/common/scripted_upstream.rs
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Tells whether the upstream has crashed.
+    /// Returns whether the upstream has crashed.
     pub fn has_crashed(&self) -> bool {
         *self.crashed.borrow()
     }
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -19,7 +19,7 @@
 const LISTING_TIMEOUT: Duration = Duration::from_secs(20);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Starts two routers, and upstreams of a service that crash when a request asks for it.
+/// Starts two routers, and upstreams of a service that crash when a request instructs them to.
 async fn start(service: &str, versions: &[&str], count: usize) -> (Bench, Vec<ScriptedUpstream>) {
     let bench = Bench::start_without_upstreams().await;
     let mut upstreams = Vec::new();
--- a/tests/days/draw_days.py
+++ b/tests/days/draw_days.py
@@ -70,7 +70,7 @@
     ("hot_tenant", {"x": 10.0}), ("retry_abuse", {"x": 5.0, "share": 0.6}),
     ("give_up", {"share": 0.5}), ("give_up", {"share": 0.5, "x": 30.0}),
 ]
-# Planned work stands under `plan`, everything else under `faults`.
+# Planned work is listed under `plan`, everything else under `faults`.
 PLANNED = {
     "release", "scale_in", "scale_out", "roll_term", "add_nodes", "hup",
     "config_change", "config_storm", "big_config", "revoke", "rollout_good", "rollout_bad",
--- a/tests/days/play_rollouts.py
+++ b/tests/days/play_rollouts.py
@@ -5,7 +5,7 @@
                                 [--seeds N] [--first N] [--jobs N] [--service N] [--folder DIR]
 
 BENCH is the users' bench and each SITE a site file. Each version is played on each site beside
-each trouble with each seed, without processor time. A row tells how many plays broke a rule and
+each trouble with each seed, without processor time. A row shows how many plays broke a rule and
 in how many the operators miss what they are owed: a good version in service, a bad one taken
 back. Such plays are printed with their seed. --service counts the site's services.
 """
--- a/tests/gateway/escalation.rs
+++ b/tests/gateway/escalation.rs
@@ -1,4 +1,4 @@
-//! Whether a smaller model's answer is accepted or a larger model is asked.
+//! Whether a smaller model's answer is accepted or a larger model is called.
 
 use super::cases;
 use gatepier::gateway::admit::routes::NEUTRAL_RELATIVE_RANK;
@@ -67,7 +67,7 @@
         expect_that!(judge_answer(begun(2, Some(0)), &expected, LEFT), eq(EscalationDecision::Accept));
     }
 
-    larger_models_that_would_be_late_are_not_asked => {
+    larger_models_that_would_be_late_are_not_called => {
         let late = three(expected(990, 0));
         expect_that!(judge_answer(begun(0, Some(0)), &late, LEFT), eq(EscalationDecision::AcceptUnsure));
         expect_that!(judge_answer(begun(0, Some(25)), &late, LEFT), eq(EscalationDecision::Escalate(1)));
@@ -76,7 +76,7 @@
         expect_that!(judge_answer(begun(0, Some(0)), &barely, LEFT), eq(EscalationDecision::AcceptUnsure));
     }
 
-    larger_models_are_not_asked_while_engines_are_full => {
+    larger_models_are_not_called_while_engines_are_full => {
         // When larger models could use the whole objective, they filled all engines.
         let full = three(expected(600, 300));
         expect_that!(judge_answer(begun(0, Some(0)), &full, LEFT), eq(EscalationDecision::AcceptUnsure));
--- a/tests/gateway/fetch_planning.rs
+++ b/tests/gateway/fetch_planning.rs
@@ -18,7 +18,7 @@
 /// with the full value.
 const DELTA_BYTES: usize = 20_000;
 const FULL_BYTES: usize = 60_000;
-/// The time between two polls of a box that was told to retry, in milliseconds.
+/// The time between two polls of a box that was instructed to retry, in milliseconds.
 const RETRY_POLL_MS: u64 = 100;
 /// The round-trip time of a poll, in milliseconds.
 const ROUND_TRIP_MS: u64 = 4;
--- a/tests/gateway/initial_sync.rs
+++ b/tests/gateway/initial_sync.rs
@@ -194,18 +194,18 @@
     widest_links_read_and_the_others_are_distributed_over_them => {
         let fleet = fleet(300);
         let plans = plans(&fleet, CALL_MS);
-        let mut first_asked: HashMap<SocketAddr, usize> = HashMap::new();
+        let mut first_queried: HashMap<SocketAddr, usize> = HashMap::new();
         for entry in &fleet {
             match &plans[&entry.address] {
                 SyncPlan::ReadStore => expect_that!(entry.link_mbps, eq(200)),
                 SyncPlan::FetchFromBoxes { readers, .. } => {
                     expect_that!(readers.len(), eq(3));
-                    *first_asked.entry(readers[0]).or_default() += 1;
+                    *first_queried.entry(readers[0]).or_default() += 1;
                 }
             }
         }
         // 282 boxes over 18 readers are 16 each.
-        expect_that!(first_asked.values().copied().max(), some(le(30)));
+        expect_that!(first_queried.values().copied().max(), some(le(30)));
     }
 
     box_without_an_entry_still_gets_a_plan => {
@@ -234,8 +234,8 @@
         let reading = plans.values().filter(|plan| **plan == SyncPlan::ReadStore).count();
         expect_that!(reading, eq(2));
         let of_first = |address: &SocketAddr| {
-            let asks = |plan: &&SyncPlan| matches!(plan, SyncPlan::FetchFromBoxes { readers, .. } if readers[0] == *address);
-            plans.values().filter(asks).count()
+            let queries_it = |plan: &&SyncPlan| matches!(plan, SyncPlan::FetchFromBoxes { readers, .. } if readers[0] == *address);
+            plans.values().filter(queries_it).count()
         };
         expect_that!(wide.map(|address| of_first(&address)), elements_are![ge(9), ge(9)]);
     }
@@ -247,13 +247,13 @@
         }
         hall[3].link_mbps = 1000;
         let plans = plans(&hall, CALL_MS);
-        let first_asked = plans.values().filter_map(|plan| match plan {
+        let first_queried = plans.values().filter_map(|plan| match plan {
             SyncPlan::ReadStore => None,
             SyncPlan::FetchFromBoxes { readers, .. } => Some(readers[0]),
         });
-        let first_asked: Vec<SocketAddr> = first_asked.collect();
-        expect_that!(first_asked, each(eq(&hall[3].address)));
-        expect_that!(first_asked.len(), eq(hall.len() - 2), "another box reads too, in case that one is dead");
+        let first_queried: Vec<SocketAddr> = first_queried.collect();
+        expect_that!(first_queried, each(eq(&hall[3].address)));
+        expect_that!(first_queried.len(), eq(hall.len() - 2), "another box reads too, in case that one is dead");
     }
 
     entries_of_previous_processes_of_a_box_count_once => {
--- a/tests/gateway/quarantine.rs
+++ b/tests/gateway/quarantine.rs
@@ -14,8 +14,8 @@
 /// A ledger in which a request ran at the crashes of upstreams 1 and up.
 fn ledger_with_crashes(request: Fingerprint, crashes: u32, now: Now) -> CrashLedger {
     let mut ledger = CrashLedger::default();
-    for life in 1..=crashes {
-        ledger.add_crash(life, request, CrashRole::Concurrent, now);
+    for incarnation in 1..=crashes {
+        ledger.add_crash(incarnation, request, CrashRole::Concurrent, now);
     }
     ledger
 }
@@ -48,8 +48,8 @@
         let mut ledger = ledger_with_crashes(REQUEST, 3, at(0));
         expect_that!(ledger.quarantine_state(REQUEST, at(0)), eq(QuarantineState::Suspect));
         ledger.begin_trial(REQUEST, at(0));
-        let standing = ledger.quarantine_state(REQUEST, at(100));
-        expect_that!(standing, matches_pattern!(QuarantineState::OnTrial(_)));
+        let state = ledger.quarantine_state(REQUEST, at(100));
+        expect_that!(state, matches_pattern!(QuarantineState::OnTrial(_)));
         ledger.end_trial(REQUEST);
         expect_that!(ledger.quarantine_state(REQUEST, at(100)), eq(QuarantineState::Suspect));
     }
@@ -80,7 +80,7 @@
     late_record_of_an_old_crash_does_not_undo_an_answer => {
         let mut ledger = ledger_with_crashes(REQUEST, 3, at(0));
         ledger.add_answer(REQUEST, at(50));
-        let late: Vec<(u32, CrashRole)> = (1..=3).map(|life| (life, CrashRole::Concurrent)).collect();
+        let late: Vec<(u32, CrashRole)> = (1..=3).map(|incarnation| (incarnation, CrashRole::Concurrent)).collect();
         ledger.merge_record(&record(REQUEST, &late), at(60));
         expect_that!(ledger.quarantine_state(REQUEST, at(60)), eq(QuarantineState::Clear));
     }
--- a/tests/leaving_and_retry_after.rs
+++ b/tests/leaving_and_retry_after.rs
@@ -1,5 +1,5 @@
-//! Tests upstreams that announce in their responses that they are leaving, or that ask for a back-off
-//! by `retry-after`, behind the router's own interface.
+//! Tests upstreams that announce in their responses that they are leaving, or that request a
+//! back-off by `retry-after`, behind the router's own interface.
 
 mod common;
 
@@ -88,7 +88,7 @@
     leaving_model_upstream_gets_no_more_requests =>
         expect_no_more_requests(MODEL_SERVICE, || answer(200, &[LEAVING_HEADER]));
 
-    /// Guards against requests to an upstream during the back-off that it has asked for.
+    /// Guards against requests to an upstream during the back-off that it has requested.
     plain_upstream_gets_no_requests_during_its_retry_after =>
         expect_no_more_requests(PLAIN_SERVICE, || answer(503, &[("retry-after", "30")]));
     model_upstream_gets_no_requests_during_its_retry_after =>
--- a/tests/replacing.rs
+++ b/tests/replacing.rs
@@ -115,7 +115,7 @@
 struct UnservedRequests {
     /// Requests that the router did not process, according to its `GOAWAY`.
     not_processed: Vec<String>,
-    /// Requests that failed in any other way, with the error.
+    /// Requests that failed for another reason, with the error.
     cut: Vec<(String, String)>,
 }
 
@@ -187,7 +187,7 @@
 
 cases! {
     /// Guards against a stopping router that closes all idle connections at once, 2.0 s after the
-    /// signal, while requests are on their way to some of them. Its answers carried no `Connection:
+    /// signal, while requests are in transit to some of them. Its answers carried no `Connection:
     /// close` before, so callers reused their connections until the end. This cut one to five of
     /// 10,000 requests around every third replacement.
     requests_on_reused_connections_are_not_cut_by_repeated_router_replacement => async {
@@ -241,7 +241,7 @@
 
     /// Guards against a router that closes connections without `Connection: close` if they were
     /// idle for the two seconds after the signal, although it goes on serving requests on others.
-    connection_idle_since_the_signal_is_served_and_then_asked_to_close => async {
+    connection_idle_since_the_signal_is_served_with_connection_close => async {
         let mut bench = Bench::start(BenchPlan::default()).await;
         let address = bench.boxes["ikeja-1"].files.router;
         let mut kept = PersistentConnection::open(address).await;
@@ -257,7 +257,7 @@
     };
 
     /// Guards against a stopping router that tracks requests but not connections, and so closes an
-    /// accepted connection whose request is still on its way.
+    /// accepted connection whose request is still in transit.
     connection_accepted_before_the_listener_closes_is_served_when_its_request_comes_later => async {
         let mut bench = Bench::start(BenchPlan::default()).await;
         let address = bench.boxes["ikeja-1"].files.router;
@@ -280,19 +280,19 @@
         }
         bench.router("ikeja-1").signal(libc::SIGTERM);
         let first_send = Instant::now() + SHUTDOWN_LEAD + Duration::from_millis(500);
-        let ask = async |number: u32, kept: &mut PersistentConnection| {
+        let send_at_offset = async |number: u32, kept: &mut PersistentConnection| {
             let at = first_send + Duration::from_micros(2500) * number;
             actix_rt::time::sleep_until(at.into()).await;
             kept.read_manifest().await
         };
-        let replies = join_all((0..).zip(&mut kept).map(|(number, kept)| ask(number, kept))).await;
+        let replies = join_all((0..).zip(&mut kept).map(|(number, kept)| send_at_offset(number, kept))).await;
         let unknown: Vec<&RequestOutcome> = replies.iter().filter(|reply| !reply.is_outcome_known()).collect();
         expect_that!(unknown, is_empty());
         expect_that!(replies[0].is_served(), eq(true), "{:?}", replies[0]);
     };
 
     /// However long a router waits, a request may be sent just as its connection is closed. Guards
-    /// against a close without a response, from which the caller cannot tell whether the request
+    /// against a close without a response, from which the caller cannot know whether the request
     /// ran.
     request_that_crosses_the_close_of_its_connection_is_answered_as_not_run => async {
         let mut bench = Bench::start(plan_with_two_second_drain()).await;
--- a/tests/spreading.rs
+++ b/tests/spreading.rs
@@ -317,9 +317,9 @@
         }
         wait_for_version(&follower, 1, CONFIG_BOUND).await.unwrap();
         // The box continues to query the hub from which it got the version.
-        let asked = usize::from(hubs[1].0.hubs.has_recent_pollers(Now::read()));
-        hubs[asked].2.abort();
-        apply_config(&hubs[1 - asked].0, 11, config(2, 40));
+        let queried = usize::from(hubs[1].0.hubs.has_recent_pollers(Now::read()));
+        hubs[queried].2.abort();
+        apply_config(&hubs[1 - queried].0, 11, config(2, 40));
         expect_that!(
             wait_for_version(&follower, 2, CONFIG_BOUND).await,
             some(lt(Duration::from_millis(1000)))
@@ -332,8 +332,8 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let corrupting = listener.local_addr().unwrap();
         pass_datagrams(corrupting, hub_address).await;
-        let asked = Rc::new(Cell::new(0));
-        let counted = asked.clone();
+        let fetches = Rc::new(Cell::new(0));
+        let counted = fetches.clone();
         actix_rt::spawn(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
                 counted.set(counted.get() + 1);
@@ -349,6 +349,6 @@
         expect_that!(wait_for_version(&follower, 2, waited).await, none());
         expect_that!(version(&follower), eq(1));
         // At most ten fetches a second, each after a new query to the hub.
-        expect_that!(asked.get(), all![ge(3), le(21)]);
+        expect_that!(fetches.get(), all![ge(3), le(21)]);
     };
 }
--- a/tests/stopping.rs
+++ b/tests/stopping.rs
@@ -65,8 +65,8 @@
         expect_that!(bench.models[0].stand_in.runs().len(), eq(runs_before));
     };
 
-    /// Guards against a stopping router that ends a serving thread before the thread has been told
-    /// to drain, which cuts its streams.
+    /// Guards against a stopping router that ends a serving thread before the thread has been
+    /// signalled to drain, which cuts its streams.
     router_replacement_under_load_cuts_no_stream => async {
         let mut bench = Bench::start(BenchPlan::default()).await;
         set_slow_streams(&bench);
--- a/tests/stopping_beside_load.rs
+++ b/tests/stopping_beside_load.rs
@@ -95,8 +95,8 @@
 }
 
 cases! {
-    /// Guards against a stopping router that ends a serving thread before the thread has been told
-    /// to drain, which cuts its streams.
+    /// Guards against a stopping router that ends a serving thread before the thread has been
+    /// signalled to drain, which cuts its streams.
     streams_are_complete_when_their_router_is_replaced_beside_busy_threads =>
         replace_under_streams(Duration::ZERO);
 
