--- a/src/demo/requests.rs
+++ b/src/demo/requests.rs
@@ -51,7 +51,7 @@
     pub status: u16,
     /// The version that answered; empty for a plain service.
     pub version: String,
-    /// The `gatepier-outcome` header, which says whether the request ran.
+    /// The `gatepier-outcome` header, which states whether the request ran.
     pub outcome: String,
     /// Whether the response was complete and belongs to this request.
     pub is_own_complete_answer: bool,
@@ -74,7 +74,7 @@
     sent
 }
 
-/// Sends some requests that need claims, to check that claims are granted by all shards.
+/// Sends some requests that need claims, to check that claims are granted through all boxes.
 pub async fn send_claimed_probe(partner: &Partner) -> Vec<RequestRecord> {
     const PROBES: usize = 16;
     let client = pooled_client();
